--- a/architecture_test.go
+++ b/architecture_test.go
@@ -59,7 +59,7 @@
 	}
 	packages := strings.Split(strings.TrimSpace(string(out)), "\n")
 	if len(packages) < len(layers) {
-		t.Fatalf("go list: %d packages, want at least %d", len(packages), len(layers))
+		t.Fatalf("go list: only %d packages, fewer than the layers", len(packages))
 	}
 	for _, line := range packages {
 		fields := strings.Fields(line)
--- a/cmd/cicheck/main.go
+++ b/cmd/cicheck/main.go
@@ -1,6 +1,6 @@
-// Command cicheck runs a test command and passes over exactly the failures of the tests that a list names; the package
-// knownfailures has the rules. It exits with 0 if nothing else failed, with 1 if something did or the command cannot be
-// run, and with 2 if the list cannot be read or no command is given.
+// Command cicheck runs a test command and accepts exactly the failures of the tests in a list. Package knownfailures
+// documents the rules. The exit status is 0 if there is no other failure, 1 if there is one or the command cannot be
+// run, and 2 if the list cannot be read or no command is given.
 //
 //	cicheck KNOWN-RED.txt go test -race ./...
 package main
@@ -18,9 +18,9 @@
 
 // The exit statuses of the program.
 const (
-	statusPassed = 0
-	statusFailed = 1
-	statusUsage  = 2 // the list or the arguments are wrong
+	statusPassed = 0 // no unexpected failure
+	statusFailed = 1 // an unexpected failure, or the command cannot be run
+	statusUsage  = 2 // the list or the arguments are invalid
 )
 
 func main() {
@@ -30,7 +30,7 @@
 	os.Exit(status)
 }
 
-// run carries out the program with its arguments, and returns its exit status.
+// run runs the command with the given arguments and returns its exit status.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	if len(args) < 2 {
 		fmt.Fprintln(errOut, "usage: cicheck LIST go test [flags] packages")
--- a/cmd/cicheck/main_test.go
+++ b/cmd/cicheck/main_test.go
@@ -14,16 +14,16 @@
 		list    string
 		command []string
 		status  int
-		want    string // in the error output
+		want    string // text that the error output contains
 	}{
 		{"no command", validEntry, nil, statusUsage, "usage: cicheck LIST go test"},
 		{"a malformed line", validEntry + "fleet.TestB\n", []string{"go", "test", "./..."}, statusUsage, "KNOWN-RED.txt:2: 1 fields, want"},
 		{
-			"the form with a cause", "fleet.TestA | cause | issue 1\n", []string{"go", "test", "./..."}, statusUsage,
+			"a cause instead of command and observation", "fleet.TestA | cause | issue 1\n", []string{"go", "test", "./..."}, statusUsage,
 			"KNOWN-RED.txt:1: 3 fields, want `import/path.TestName | command and seed | what was seen | issue NUMBER`",
 		},
 		{"not go test", validEntry, []string{"true", "test", "./..."}, statusFailed, "is not of the form `go test [flags] packages`"},
-		{"no such test", validEntry, []string{"go", "test", "marblelane/cmd/cicheck/absent"}, statusFailed, "failures that"},
+		{"no such package", validEntry, []string{"go", "test", "marblelane/cmd/cicheck/absent"}, statusFailed, "unexpected failures, not covered by"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			list := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
@@ -36,7 +36,7 @@
 				t.Errorf("status %d, want %d", status, test.status)
 			}
 			if !strings.Contains(errOut.String(), test.want) {
-				t.Errorf("%q is not in %q", test.want, errOut.String())
+				t.Errorf("%q is not in the error output %q", test.want, errOut.String())
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 		t.Errorf("status %d, want %d", status, statusUsage)
 	}
 	if !strings.Contains(errOut.String(), path) {
-		t.Errorf("%q does not name %s", errOut.String(), path)
+		t.Errorf("error output %q does not name %s", errOut.String(), path)
 	}
 }
 
@@ -64,6 +64,6 @@
 		t.Errorf("status %d: %s%s", status, &out, &errOut)
 	}
 	if !strings.Contains(out.String(), "ok  \t"+testedPackage+"\t") {
-		t.Errorf("no closing line in %q", &out)
+		t.Errorf("no summary line in %q", &out)
 	}
 }
--- a/internal/knownfailures/entry.go
+++ b/internal/knownfailures/entry.go
@@ -10,17 +10,17 @@
 	"unicode/utf8"
 )
 
-// entryForm is an entry as it stands in the list, with its fields divided by fieldSeparator.
+// The form of an entry in the list: fieldsPerEntry fields, separated by fieldSeparator.
 const (
 	entryForm      = "import/path.TestName | command and seed | what was seen | issue NUMBER"
 	fieldSeparator = "|"
 	fieldsPerEntry = 4
 )
 
-// commandPrefix begins the command of each entry, so that it can be run as it stands.
+// commandPrefix is the required start of the command of an entry, so that the command can be run unchanged.
 const commandPrefix = "go test "
 
-// maxObservedLength bounds what was seen, in characters: the issue has the rest.
+// maxObservedLength is the maximum length of Entry.Observed, in characters. Details belong in the issue.
 const maxObservedLength = 200
 
 var (
@@ -28,25 +28,25 @@
 	issuePattern  = regexp.MustCompile(`^issue [1-9][0-9]*$`)
 )
 
-// TestID names a top-level test of a package.
+// TestID identifies a top-level test of a package.
 type TestID struct {
 	Package string // import path
-	Name    string
+	Name    string // name of the test function
 }
 
-// String is the test as it stands in the list.
+// String returns the test in the form that the list uses.
 func (id TestID) String() string { return id.Package + "." + id.Name }
 
-// Entry is one line of the list: a test that is known to fail.
+// Entry is a line of the list: a test that is known to fail.
 type Entry struct {
 	Test     TestID
-	Command  string // runs the test or its package, with the seed of the failure
-	Observed string // what was seen
-	Issue    string
-	Line     int // in the file
+	Command  string // `go test` command that runs the test or its package, with the seed of the failure if there is one
+	Observed string // how the test fails
+	Issue    string // in the form `issue NUMBER`
+	Line     int    // line number in the file
 }
 
-// parseEntry reads one line of the list.
+// parseEntry parses and validates a line of the list.
 func parseEntry(text string) (Entry, error) {
 	fields := strings.Split(text, fieldSeparator)
 	if len(fields) != fieldsPerEntry {
@@ -96,15 +96,16 @@
 	return fmt.Errorf("the command %q names neither %s nor %s", command, test.Name, test.Package)
 }
 
-// commandWords has the words of a command after its prefix. A comma may divide it from its seed.
+// commandWords returns the words that follow the prefix of a command. A comma separates words too, as in
+// `go test ./lease, seed 3`.
 func commandWords(command string) []string {
 	return strings.FieldsFunc(strings.TrimPrefix(command, commandPrefix), func(r rune) bool {
 		return r == ',' || unicode.IsSpace(r)
 	})
 }
 
-// namesTest reports whether a word of a command, such as -run=^TestName$, has the name of a test in it. A longer name
-// that contains it does not count.
+// namesTest reports whether a word of a command, such as -run=^TestName$, contains the name of a test as a complete
+// identifier.
 func namesTest(word, name string) bool {
 	identifiers := strings.FieldsFunc(word, func(r rune) bool {
 		return r != '_' && !unicode.IsLetter(r) && !unicode.IsDigit(r)
@@ -112,23 +113,24 @@
 	return slices.Contains(identifiers, name)
 }
 
-// namesPackage reports whether a word of a command is the import path of a package, or its folder below the root of the
-// module, such as ./internal/retry.
+// namesPackage reports whether a word of a command is the import path of a package or its directory relative to the
+// root of the module, such as ./internal/retry.
 func namesPackage(word, importPath string) bool {
 	if word == importPath {
 		return true
 	}
-	folder, relative := strings.CutPrefix(word, "./")
-	return relative && strings.HasSuffix(importPath, "/"+folder)
+	directory, relative := strings.CutPrefix(word, "./")
+	return relative && strings.HasSuffix(importPath, "/"+directory)
 }
 
-// checkObserved requires a short account of what was seen.
+// checkObserved requires a description of the failure of at most maxObservedLength characters.
 func checkObserved(observed string) error {
 	if observed == "" {
-		return errors.New("what was seen is missing")
+		return errors.New("the description of what was seen is missing")
 	}
 	if length := utf8.RuneCountInString(observed); length > maxObservedLength {
-		return fmt.Errorf("what was seen has %d characters, at most %d are allowed", length, maxObservedLength)
+		return fmt.Errorf("the description of what was seen has %d characters, at most %d are allowed",
+			length, maxObservedLength)
 	}
 	return nil
 }
--- a/internal/knownfailures/evaluator.go
+++ b/internal/knownfailures/evaluator.go
@@ -11,23 +11,24 @@
 	"strings"
 )
 
-// evaluator reads the events of a `go test -json` run, prints them as `go test` prints without -json, and collects the
-// failures that the list does not cover.
+// evaluator reads the events of a `go test -json` run, prints the output in the format of `go test` without -json, and
+// collects the unexpected failures.
 type evaluator struct {
 	list               *List
 	out                io.Writer
 	packages           map[string]*packageRun // by import path
 	endedPackages      []*packageRun          // in the order in which they ended
-	summaryLines       []string               // the closing lines of the packages
-	unexpectedFailures []string               // failures that cannot be passed over
+	summaryLines       []string               // summary lines of the packages, printed again by report
+	unexpectedFailures []string               // failures that the list does not cover
 }
 
-// newEvaluator evaluates a run by the list and prints to out.
+// newEvaluator returns an evaluator that accepts the failures of the tests in list and prints to out.
 func newEvaluator(list *List, out io.Writer) *evaluator {
 	return &evaluator{list: list, out: out, packages: map[string]*packageRun{}}
 }
 
-// readEvents reads all events of a run. A line that is not an event is printed and counts as a failure.
+// readEvents reads and handles all events of a run. A line that is not an event is printed and is an unexpected
+// failure.
 func (ev *evaluator) readEvents(in io.Reader) error {
 	lines := bufio.NewReader(in)
 	for {
@@ -39,7 +40,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("reading the events of go test: %w", err)
+			return fmt.Errorf("read the events of go test: %w", err)
 		}
 	}
 }
@@ -78,7 +79,7 @@
 	}
 }
 
-// packageRunFor is the state of a package, which is added at its first event.
+// packageRunFor returns the state of a package. It adds the package at its first event.
 func (ev *evaluator) packageRunFor(importPath string) *packageRun {
 	p := ev.packages[importPath]
 	if p == nil {
@@ -88,7 +89,7 @@
 	return p
 }
 
-// recordPackageEnd records the result of a package, prints it, and checks its failures.
+// recordPackageEnd records and prints the result of a package, and collects its unexpected failures.
 func (ev *evaluator) recordPackageEnd(p *packageRun, e *event) {
 	p.result = resultOfAction(e.Action)
 	p.failedBuild = e.FailedBuild
@@ -106,14 +107,14 @@
 	p.output = nil
 }
 
-// addSummaryLine keeps a line for the end of the report if it is the closing one of a package.
+// addSummaryLine stores a line for the report if it is the summary of a package.
 func (ev *evaluator) addSummaryLine(line string) {
 	if isSummary(line) {
 		ev.summaryLines = append(ev.summaryLines, line)
 	}
 }
 
-// checkFailedPackage records each failure of a package that is not the failure of a listed test.
+// checkFailedPackage records the unexpected failures of a package that failed.
 func (ev *evaluator) checkFailedPackage(p *packageRun) {
 	if p.failedBuild != "" {
 		ev.addUnexpectedFailure("%s does not build", p.importPath)
@@ -143,8 +144,8 @@
 	ev.unexpectedFailures = append(ev.unexpectedFailures, fmt.Sprintf(format, args...))
 }
 
-// checkWholeRun is called with the exit status of `go test` once all events are read. It records the failures that no single
-// package shows.
+// checkWholeRun checks the whole run, after all events have been read, against the exit status of `go test`. It records
+// the unexpected failures that the results of the single packages do not show.
 func (ev *evaluator) checkWholeRun(exitStatus int) {
 	startedTests, failedPackages := 0, 0
 	for _, importPath := range slices.Sorted(maps.Keys(ev.packages)) {
@@ -162,14 +163,15 @@
 	}
 	// go test exits with 0 if all packages pass, with 1 if some fail, and with another status if it could not run them.
 	if expected := min(failedPackages, 1); exitStatus != expected {
-		ev.addUnexpectedFailure("go test exited with status %d, and %d packages failed", exitStatus, failedPackages)
+		ev.addUnexpectedFailure("go test exited with status %d although %d packages failed", exitStatus, failedPackages)
 	}
 	for _, entry := range ev.list.Entries {
 		ev.checkEntryRan(entry)
 	}
 }
 
-// checkEntryRan records a listed test that does not exist or did not run.
+// checkEntryRan records an unexpected failure if a listed test does not exist, was skipped or did not run to
+// completion.
 func (ev *evaluator) checkEntryRan(entry Entry) {
 	p := ev.packages[entry.Test.Package]
 	switch {
@@ -178,11 +180,11 @@
 	case ev.testResult(entry.Test) == unfinished && p.failedBuild == "":
 		ev.addUnexpectedFailure("%s:%d: no test %s ran to completion", ev.list.File, entry.Line, entry.Test)
 	case ev.testResult(entry.Test) == skipped:
-		ev.addUnexpectedFailure("%s:%d: %s was skipped: a listed test has to run", ev.list.File, entry.Line, entry.Test)
+		ev.addUnexpectedFailure("%s:%d: %s was skipped: a listed test must run", ev.list.File, entry.Line, entry.Test)
 	}
 }
 
-// testResult is the result of a test, unfinished if it did not run.
+// testResult returns the result of a test, or unfinished if it did not run.
 func (ev *evaluator) testResult(test TestID) result {
 	if p := ev.packages[test.Package]; p != nil {
 		return p.tests[test.Name]
@@ -190,8 +192,8 @@
 	return unfinished
 }
 
-// packagesWithKnownFailures has the import paths of the packages in which only listed tests failed, in the order in which they ended. It
-// has none if the run fails anyway.
+// packagesWithKnownFailures returns the import paths of the packages in which only listed tests failed, in the order in
+// which they ended. It returns none if the run already has unexpected failures.
 func (ev *evaluator) packagesWithKnownFailures() []string {
 	if len(ev.unexpectedFailures) > 0 {
 		return nil
--- a/internal/knownfailures/event.go
+++ b/internal/knownfailures/event.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// The actions of `go test -json` that are read here; `go doc test2json` has all of them.
+// The actions of `go test -json` events that the evaluator handles. `go doc test2json` lists all actions.
 const (
 	actionRun         = "run"
 	actionOutput      = "output"
@@ -12,10 +12,10 @@
 	actionSkip        = "skip"
 )
 
-// Text that `go test`, the testing package and the race detector print.
+// Texts that `go test`, the testing package and the race detector print.
 const (
-	failLine             = "FAIL\n" // printed by testing.M.Run once all tests have finished, unless the process ends before
-	verbosePrefix        = "=== "   // of the lines that verbose output adds around the output of a test
+	failLine             = "FAIL\n" // printed by testing.M.Run when a test failed, after all tests have finished
+	verbosePrefix        = "=== "   // start of the lines that verbose output adds around the output of a test
 	panicPrefix          = "panic: "
 	raceReport           = "WARNING: DATA RACE"
 	okSummaryPrefix      = "ok  \t"
@@ -23,25 +23,26 @@
 	noTestsSummaryPrefix = "?   \t"
 )
 
-// event is one line of `go test -json`.
+// event is a line of the output of `go test -json`.
 type event struct {
 	Action      string
 	Package     string
-	Test        string // empty for an event of the package itself
+	Test        string // test or subtest, empty for an event of the package itself
 	Output      string
-	FailedBuild string
+	FailedBuild string // package that did not build, set in the fail event of a package whose build failed
 }
 
-// topLevelTest is the name of the test that the event's test or subtest belongs to.
+// topLevelTest returns the name of the top-level test to which the event belongs.
 func (e *event) topLevelTest() string {
 	name, _, _ := strings.Cut(e.Test, "/")
 	return name
 }
 
-// isSubtest reports whether the event is of a subtest. The result of its top-level test includes that of the subtest.
+// isSubtest reports whether the event belongs to a subtest. The result of a top-level test includes those of its
+// subtests.
 func (e *event) isSubtest() bool { return strings.Contains(e.Test, "/") }
 
-// isSummary reports whether a line is the closing one that `go test` prints for each package.
+// isSummary reports whether a line is the summary that `go test` prints for each package.
 func isSummary(line string) bool {
 	return strings.HasPrefix(line, okSummaryPrefix) || strings.HasPrefix(line, failSummaryPrefix) ||
 		strings.HasPrefix(line, noTestsSummaryPrefix)
--- a/internal/knownfailures/list.go
+++ b/internal/knownfailures/list.go
@@ -1,11 +1,13 @@
-// Package knownfailures runs a `go test` command and passes over the failures of the tests that a list names, and over
-// nothing else.
+// Package knownfailures runs a `go test` command and accepts the failures of the tests in a list. Any other failure
+// fails the run.
 //
-// The list, KNOWN-RED.txt, has one line for each test: its import path and name, the command and seed that show the
-// failure, what was seen, and the issue. A listed test is run like any other and its result is printed. What fails beside
-// the listed tests fails the run: another test, a package that does not build, a panic, a time limit, a data race, or a
-// check after the tests of a package, such as one for leaked goroutines. Because such a check is often left out once a
-// test has failed, each package whose failure is passed over is run again without its listed tests, and has to pass.
+// The list, KNOWN-RED.txt, has one line for each test: its import path and name, the command and seed that reproduce
+// the failure, the observed failure, and the issue. Listed tests run like any other test and their results are printed.
+//
+// These are unexpected failures, which fail the run: the failure of an unlisted test, a package that does not build, a
+// panic, a timeout, a data race, and a failed check after the tests of a package, such as one for leaked goroutines.
+// Because such a check is often skipped after a test has failed, each package in which only listed tests failed is run
+// again without its listed tests. This second run must pass.
 package knownfailures
 
 import (
@@ -17,13 +19,13 @@
 	"strings"
 )
 
-// List is the content of a file of known failures.
+// List is the content of a file that lists known failures.
 type List struct {
-	File    string // its name, for messages
+	File    string // file name, used in messages
 	Entries []Entry
 }
 
-// ReadList reads the list from a file. A missing file is an error.
+// ReadList reads a list from a file. A missing file is an error.
 func ReadList(path string) (*List, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -33,7 +35,8 @@
 	return ParseList(path, file)
 }
 
-// ParseList reads a list. Its error names the file and the line of each malformed entry.
+// ParseList parses a list. It skips empty lines and lines that start with #. The error names the file and the line of
+// each malformed entry.
 func ParseList(file string, in io.Reader) (*List, error) {
 	list := &List{File: file}
 	var errs []error
@@ -52,7 +55,7 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		errs = append(errs, fmt.Errorf("%s: %w", file, err))
+		errs = append(errs, fmt.Errorf("read %s: %w", file, err))
 	}
 	if len(errs) > 0 {
 		return nil, errors.Join(errs...)
@@ -60,7 +63,7 @@
 	return list, nil
 }
 
-// add appends an entry; a test may be listed once.
+// add appends an entry. It returns an error if the test is already listed.
 func (l *List) add(entry Entry, line int) error {
 	if l.contains(entry.Test) {
 		return fmt.Errorf("%s is listed twice", entry.Test)
@@ -80,7 +83,7 @@
 	return false
 }
 
-// testNames has the names of the tests that are listed for a package.
+// testNames returns the names of the listed tests of a package.
 func (l *List) testNames(importPath string) []string {
 	var names []string
 	for _, entry := range l.Entries {
--- a/internal/knownfailures/list_test.go
+++ b/internal/knownfailures/list_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// The number of entries has no bound.
+// The number of entries is not limited.
 func TestParseList_tenEntries(t *testing.T) {
 	const entryCount = 10
 	var text strings.Builder
@@ -76,7 +76,7 @@
 	}
 	for i, entry := range list.Entries {
 		if want := fmt.Sprintf("fleet.Test%d", i); entry.Test.String() != want {
-			t.Errorf("entry %d is of %s, want %s", i, entry.Test, want)
+			t.Errorf("entry %d lists %s, want %s", i, entry.Test, want)
 		}
 	}
 }
@@ -86,16 +86,16 @@
 	const validEntry = "fleet.TestA | go test -run TestA ./... | late | issue 1\n"
 	maxObserved := strings.Repeat("ü", maxObservedLength)
 	if _, err := ParseList("red.txt", strings.NewReader("fleet.TestA | go test fleet | "+maxObserved+" | issue 1\n")); err != nil {
-		t.Errorf("what was seen may have %d characters: %v", maxObservedLength, err)
+		t.Errorf("a description of %d characters is rejected: %v", maxObservedLength, err)
 	}
 	for _, test := range []struct {
 		name, text, want string
 	}{
-		{"a test twice", validEntry + "fleet.TestA | go test fleet | late | issue 2\n", "red.txt:2: fleet.TestA is listed twice"},
-		{"the form with a cause", "# c\nfleet.TestA | cause | issue 1\n", "red.txt:2: 3 fields, " + wantForm},
+		{"a test listed twice", validEntry + "fleet.TestA | go test fleet | late | issue 2\n", "red.txt:2: fleet.TestA is listed twice"},
+		{"a cause instead of command and observation", "# c\nfleet.TestA | cause | issue 1\n", "red.txt:2: 3 fields, " + wantForm},
 		{"too few fields", "# c\nfleet.TestA | go test fleet\n", "red.txt:2: 2 fields, " + wantForm},
 		{"too many fields", "fleet.TestA | go test fleet | late | issue 1 | note\n", "red.txt:1: 5 fields, " + wantForm},
-		{"words alone", "TestA fails now and then\n", "red.txt:1: 1 fields, " + wantForm},
+		{"no fields", "TestA fails now and then\n", "red.txt:1: 1 fields, " + wantForm},
 		{
 			"no package", "TestA | go test fleet | late | issue 1\n",
 			`red.txt:1: "TestA" is not of the form import/path.TestName`,
@@ -106,17 +106,17 @@
 		},
 		{"a pattern", "fleet.Test.* | go test fleet | late | issue 1\n", `red.txt:1: "fleet.Test.*" is not of the form`},
 		{
-			"all packages", "fleet/....TestA x | go test fleet | late | issue 1\n",
+			"a package pattern", "fleet/....TestA x | go test fleet | late | issue 1\n",
 			`red.txt:1: "fleet/....TestA x" is not of the form`,
 		},
-		{"no test", "fleet.Lease | go test fleet | late | issue 1\n", `red.txt:1: "fleet.Lease" is not of the form`},
+		{"not a test name", "fleet.Lease | go test fleet | late | issue 1\n", `red.txt:1: "fleet.Lease" is not of the form`},
 		{"no command", "fleet.TestA |  | late | issue 1\n", "red.txt:1: the command is missing"},
 		{
-			"another command", "fleet.TestA | fleet/run TestA | late | issue 1\n",
+			"not a go command", "fleet.TestA | fleet/run TestA | late | issue 1\n",
 			"red.txt:1: the command \"fleet/run TestA\" does not begin with \"go test \"",
 		},
 		{"another subcommand", "fleet.TestA | go tests TestA | late | issue 1\n", "does not begin with"},
-		{"no word after the command", "fleet.TestA | go test | late | issue 1\n", "does not begin with"},
+		{"no argument", "fleet.TestA | go test | late | issue 1\n", "does not begin with"},
 		{
 			"a command for all tests", "fleet.TestA | go test ./... | late | issue 1\n",
 			`red.txt:1: the command "go test ./..." names neither TestA nor fleet`,
@@ -124,22 +124,22 @@
 		{"a command for a longer name", "fleet.TestA | go test -run TestAB ./... | late | issue 1\n", "names neither"},
 		{"a command for another package", "fleet/release.TestA | go test ./lease | late | issue 1\n", "names neither"},
 		{"a command for the current folder", "fleet/lease.TestA | go test ./ | late | issue 1\n", "names neither"},
-		{"nothing seen", "fleet.TestA | go test fleet | | issue 1\n", "red.txt:1: what was seen is missing"},
+		{"no observed failure", "fleet.TestA | go test fleet | | issue 1\n", "red.txt:1: the description of what was seen is missing"},
 		{
-			"a long account", "fleet.TestA | go test fleet | " + maxObserved + "x | issue 1\n",
-			"red.txt:1: what was seen has 201 characters, at most 200 are allowed",
+			"too long a description", "fleet.TestA | go test fleet | " + maxObserved + "x | issue 1\n",
+			"red.txt:1: the description of what was seen has 201 characters, at most 200 are allowed",
 		},
 		{"no issue", "fleet.TestA | go test fleet | late | \n", `red.txt:1: "" is not of the form`},
 		{"an issue with no number", "fleet.TestA | go test fleet | late | later\n", `red.txt:1: "later" is not of the form`},
-		{"the second of two faults", "x\nfleet.TestA | go test fleet | late | 4\n", "\nred.txt:2: "},
+		{"two malformed entries", "x\nfleet.TestA | go test fleet | late | 4\n", "\nred.txt:2: "},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			list, err := ParseList("red.txt", strings.NewReader(test.text))
 			if err == nil {
-				t.Fatalf("no error, and %d entries", len(list.Entries))
+				t.Fatalf("no error, got %d entries", len(list.Entries))
 			}
 			if !strings.Contains(err.Error(), test.want) {
-				t.Errorf("error %q, want %q in it", err, test.want)
+				t.Errorf("error %q does not contain %q", err, test.want)
 			}
 		})
 	}
@@ -148,11 +148,11 @@
 func TestReadList_missingFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 	if _, err := ReadList(path); err == nil || !strings.Contains(err.Error(), path) {
-		t.Errorf("error %v, want one that names %s", err, path)
+		t.Errorf("error %v, want an error that names %s", err, path)
 	}
 }
 
-// The project's own list is read here, so that a malformed entry is found before the whole run.
+// The list of this project is well-formed. This test finds a malformed entry without a run of .ci/run.
 func TestReadList_projectList(t *testing.T) {
 	if _, err := ReadList("../../KNOWN-RED.txt"); err != nil {
 		t.Error(err)
--- a/internal/knownfailures/package_run.go
+++ b/internal/knownfailures/package_run.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// result is how a test or a package ended.
+// result is the outcome of a test or a package.
 type result int
 
-// The zero result is that of a test or package which has not ended, or did not run.
+// The results. The zero value, unfinished, also stands for a test or package that did not run.
 const (
 	unfinished result = iota
 	passed
@@ -17,7 +17,7 @@
 	skipped
 )
 
-// String is the result in words.
+// String returns the name of the result.
 func (r result) String() string {
 	switch r {
 	case unfinished:
@@ -32,7 +32,8 @@
 	return fmt.Sprintf("result(%d)", int(r))
 }
 
-// resultOfAction is the result that an action reports, unfinished for an action that ends nothing.
+// resultOfAction returns the result that an action reports, or unfinished for an action that does not end a test or
+// package.
 func resultOfAction(action string) result {
 	switch action {
 	case actionPass:
@@ -45,29 +46,29 @@
 	return unfinished
 }
 
-// outputLine is a line that a test has printed.
+// outputLine is a line printed by a test or by the package itself.
 type outputLine struct {
-	test string // the top-level test; empty for the package itself
+	test string // top-level test, empty for the package itself
 	text string
 }
 
-// packageRun is the state of the tests of one package.
+// packageRun is the state of the test run of a package.
 type packageRun struct {
 	importPath           string
 	result               result
-	tests                map[string]result // by top-level test, of those that have started
-	output               []outputLine      // until the package has ended
-	failedBuild          string            // the package that did not build; empty if all did
-	failLineSeen         bool              // all its tests have finished, and one of them failed
-	raceReported         bool              // reported by the race detector
-	panickedOutsideTests bool              // outside a test
+	tests                map[string]result // by name of the top-level test, only tests that have started
+	output               []outputLine      // cleared when the package has ended
+	failedBuild          string            // package that did not build, empty if the build succeeded
+	failLineSeen         bool              // failLine was printed: all tests have finished, at least one failed
+	raceReported         bool              // the race detector reported a data race
+	panickedOutsideTests bool              // a panic was printed outside of any test
 }
 
 func newPackageRun(importPath string) *packageRun {
 	return &packageRun{importPath: importPath, tests: map[string]result{}}
 }
 
-// recordTestStart records that a test has started. With -count a test that has failed once stays failed.
+// recordTestStart records that a test has started. If a test runs repeatedly (-count), a failure is kept.
 func (p *packageRun) recordTestStart(e *event) {
 	if e.isSubtest() || p.tests[e.Test] == failed {
 		return
@@ -75,7 +76,7 @@
 	p.tests[e.Test] = unfinished
 }
 
-// recordTestEnd records the result of a test.
+// recordTestEnd records the result of a test. An earlier failure is kept.
 func (p *packageRun) recordTestEnd(e *event) {
 	if e.isSubtest() || p.tests[e.Test] == failed {
 		return
@@ -83,7 +84,7 @@
 	p.tests[e.Test] = resultOfAction(e.Action)
 }
 
-// recordOutput keeps a printed line, and records what it tells about the package.
+// recordOutput stores a printed line. It also records data races, and the fail line and panics of the package itself.
 func (p *packageRun) recordOutput(e *event) {
 	p.output = append(p.output, outputLine{test: e.topLevelTest(), text: e.Output})
 	if strings.Contains(e.Output, raceReport) {
@@ -100,8 +101,8 @@
 	}
 }
 
-// failureOutput has the lines that the package itself, and those of its tests that neither passed nor were skipped, have
-// printed.
+// failureOutput returns the lines printed by the package itself and by its tests that failed or did not finish. It
+// omits summary lines and the lines that verbose output adds.
 func (p *packageRun) failureOutput() []string {
 	var lines []string
 	for _, line := range p.output {
@@ -116,7 +117,7 @@
 	return lines
 }
 
-// summaryLines has the closing lines of the package.
+// summaryLines returns the summary lines of the package.
 func (p *packageRun) summaryLines() []string {
 	var lines []string
 	for _, line := range p.output {
@@ -127,7 +128,7 @@
 	return lines
 }
 
-// testsWithResult has the names of the top-level tests with a result, in alphabetical order.
+// testsWithResult returns the names of the top-level tests that have the given result, sorted.
 func (p *packageRun) testsWithResult(wanted result) []string {
 	var names []string
 	for name, r := range p.tests {
--- a/internal/knownfailures/package_run_test.go
+++ b/internal/knownfailures/package_run_test.go
@@ -7,7 +7,7 @@
 		unfinished: "unfinished", passed: "passed", failed: "failed", skipped: "skipped", skipped + 1: "result(4)",
 	} {
 		if got := r.String(); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("String() = %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/knownfailures/report.go
+++ b/internal/knownfailures/report.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// report prints the results of the listed tests, the closing line of each package, and the failures that the list does
-// not cover. Its error counts these failures.
+// report prints the results of the listed tests, the summary line of each package, and the unexpected failures. It
+// returns an error if there are unexpected failures.
 func (ev *evaluator) report() error {
 	if len(ev.list.Entries) > 0 {
 		ev.reportEntries()
@@ -15,23 +15,23 @@
 		return nil
 	}
 	for _, failure := range ev.unexpectedFailures {
-		fmt.Fprintln(ev.out, "not passed over:", failure)
+		fmt.Fprintln(ev.out, "unexpected failure:", failure)
 	}
 	fmt.Fprint(ev.out, failLine)
-	return fmt.Errorf("%d failures that %s does not cover", len(ev.unexpectedFailures), ev.list.File)
+	return fmt.Errorf("%d unexpected failures, not covered by %s", len(ev.unexpectedFailures), ev.list.File)
 }
 
-// reportEntries prints each listed test with its result, whether it failed or not.
+// reportEntries prints each listed test with its result, including tests that passed.
 func (ev *evaluator) reportEntries() {
 	fmt.Fprintf(ev.out, "tests listed in %s:\n", ev.list.File)
 	for _, entry := range ev.list.Entries {
 		fmt.Fprintf(ev.out, "    %s %s (%s)\n", entry.Test, describeListedResult(ev.testResult(entry.Test)), entry.Issue)
 		fmt.Fprintf(ev.out, "        command: %s\n", entry.Command)
-		fmt.Fprintf(ev.out, "        seen: %s\n", entry.Observed)
+		fmt.Fprintf(ev.out, "        observed: %s\n", entry.Observed)
 	}
 }
 
-// describeListedResult describes the result of a listed test.
+// describeListedResult returns the result of a listed test as a phrase for the report.
 func describeListedResult(r result) string {
 	switch r {
 	case failed:
--- a/internal/knownfailures/report_test.go
+++ b/internal/knownfailures/report_test.go
@@ -20,12 +20,12 @@
 	}
 	const want = "tests listed in KNOWN-RED.txt:\n" +
 		"    fleet/lease.TestRed failed, as listed (issue 1)\n" +
-		"        command: go test -run TestRed ./... -args -seed 7\n        seen: late\n" +
+		"        command: go test -run TestRed ./... -args -seed 7\n        observed: late\n" +
 		"    fleet/lease.TestGreen PASSED: if its fault is fixed, remove its entry (issue 2)\n" +
-		"        command: go test fleet/lease\n        seen: early\n" +
+		"        command: go test fleet/lease\n        observed: early\n" +
 		"FAIL\tfleet/lease\t0.1s\nok  \tfleet/quorum\t0.1s\n"
 	if !strings.HasSuffix(out, want) {
-		t.Errorf("the output does not end with\n%s\nbut is\n%s", want, out)
+		t.Errorf("output does not end with\n%s\ngot\n%s", want, out)
 	}
 }
 
@@ -40,7 +40,7 @@
 		"tests listed in KNOWN-RED.txt:\n" +
 		"    fleet/lease.TestListed PASSED: if its fault is fixed, remove its entry (issue 22)\n" +
 		"        command: go test -run TestListed ./...\n" +
-		"        seen: the lease outlives its holder\n" +
+		"        observed: the lease outlives its holder\n" +
 		"ok  \tfleet/lease\t0.1s\n"
 	if diff := cmp.Diff(want, out); diff != "" {
 		t.Error(diff)
--- a/internal/knownfailures/run.go
+++ b/internal/knownfailures/run.go
@@ -11,16 +11,17 @@
 	"strings"
 )
 
-// Runner runs a test command and passes over the failures of the listed tests.
+// Runner runs a test command and accepts the failures of the listed tests.
 type Runner struct {
-	Dir    string // of the module; empty for the current one
-	List   *List
-	Out    io.Writer // gets the output of the tests and the report
-	ErrOut io.Writer // gets the standard error of the go command
+	Dir    string    // directory of the module, empty for the current directory
+	List   *List     // known failures
+	Out    io.Writer // receives the output of the tests and the report
+	ErrOut io.Writer // receives the standard error of the go command
 }
 
-// Run runs a command of the form `go test [flags] packages`, packages being one word, such as `go test -race ./...`.
-// It returns an error if something failed beside the listed tests, or if the command cannot be run.
+// Run runs a command of the form `go test [flags] packages`, such as `go test -race ./...`. The packages are a single
+// argument, an import path or a pattern. Run returns an error if there are unexpected failures or if the command cannot
+// be run.
 func (r *Runner) Run(ctx context.Context, args []string) error {
 	command, err := parseTestCommand(args)
 	if err != nil {
@@ -34,7 +35,7 @@
 	ev.checkWholeRun(exitStatus)
 	for _, importPath := range ev.packagesWithKnownFailures() {
 		if err := r.rerunWithoutListedTests(ctx, ev, command.flags, importPath); err != nil {
-			ev.addUnexpectedFailure("%s without its listed tests: %v", importPath, err)
+			ev.addUnexpectedFailure("rerun of %s without its listed tests: %v", importPath, err)
 		}
 	}
 	return ev.report()
@@ -42,16 +43,16 @@
 
 // testCommand is a command of the form `go test [flags] packages`.
 type testCommand struct {
-	flags    []string // each with its value, as -flag=value
+	flags    []string // each flag includes its value: -flag=value
 	packages string   // import path or pattern
 }
 
-// args are the arguments of go.
+// args returns the arguments of the go command.
 func (c testCommand) args() []string {
 	return slices.Concat([]string{"test"}, c.flags, []string{c.packages})
 }
 
-// parseTestCommand reads the words of a test command.
+// parseTestCommand parses a command of the form `go test [flags] packages`.
 func parseTestCommand(args []string) (testCommand, error) {
 	if len(args) < 3 || args[0] != "go" || args[1] != "test" {
 		return testCommand{}, fmt.Errorf("the test command %q is not of the form `go test [flags] packages`",
@@ -61,16 +62,18 @@
 	flags, packages := args[2:last], args[last]
 	for _, flag := range flags {
 		if !strings.HasPrefix(flag, "-") {
-			return testCommand{}, fmt.Errorf("the test command's %q is not a flag: write its values as -flag=value", flag)
+			return testCommand{}, fmt.Errorf(
+				"the test command's argument %q is not a flag: write flags with a value as -flag=value", flag)
 		}
 	}
 	if strings.HasPrefix(packages, "-") {
-		return testCommand{}, fmt.Errorf("the test command's last word %q does not name packages", packages)
+		return testCommand{}, fmt.Errorf("the test command's last argument %q does not name packages", packages)
 	}
 	return testCommand{flags: flags, packages: packages}, nil
 }
 
-// runAndEvaluate runs the test command, lets the evaluator read its events, and returns the exit status of go.
+// runAndEvaluate runs the test command, passes its events to the evaluator, and returns the exit status of the go
+// command.
 func (r *Runner) runAndEvaluate(ctx context.Context, ev *evaluator, command testCommand) (exitStatus int, err error) {
 	command.flags = slices.Concat([]string{"-json"}, command.flags)
 	cmd := r.goCommand(ctx, command)
@@ -93,8 +96,8 @@
 	return 0, waitErr
 }
 
-// rerunWithoutListedTests runs the tests of a package that are not listed, and prints their output. It returns an error if one of
-// them, or a check after them, fails.
+// rerunWithoutListedTests runs the unlisted tests of a package and prints their output. It returns an error if one of
+// them or a check after the tests fails.
 func (r *Runner) rerunWithoutListedTests(ctx context.Context, ev *evaluator, flags []string, importPath string) error {
 	var names []string
 	for _, name := range r.List.testNames(importPath) {
--- a/internal/knownfailures/run_test.go
+++ b/internal/knownfailures/run_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The packages of the module that the tests below run.
+// Source files of the packages of the module that the tests run.
 const (
 	listedFailurePackage = `package red
 
@@ -30,7 +30,7 @@
 
 func TestOther(t *testing.T) { t.Error("a new fault") }
 `
-	// Its check after the tests fails. Like goleak.VerifyTestMain, it is left out once a test has failed.
+	// The check after the tests of this package fails. Like goleak.VerifyTestMain, it is skipped if a test has failed.
 	failingExitCheckPackage = `package leaky
 
 import (
@@ -75,7 +75,7 @@
 `
 )
 
-// writeModule writes a module named scratch whose packages have one test file each, and returns its folder.
+// writeModule writes a module named scratch and returns its directory. Each package consists of one test file.
 func writeModule(t *testing.T, packages map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -95,7 +95,7 @@
 	return dir
 }
 
-// runTestCommand runs a test command in the folder of a module, and returns what it prints.
+// runTestCommand runs a test command in the directory of a module and returns its output.
 func runTestCommand(t *testing.T, dir, list string, command ...string) (string, error) {
 	t.Helper()
 	parsed, err := ParseList("KNOWN-RED.txt", strings.NewReader(list))
@@ -114,7 +114,7 @@
 		packages map[string]string
 		list     string
 		flags    []string
-		want     []string // in the output
+		want     []string // texts that the output contains
 		failed   bool
 	}{
 		{
@@ -127,52 +127,52 @@
 				"--- FAIL: TestListed",
 				"go test -skip=^(TestListed|TestFixed)$ scratch/red\nok  \tscratch/red\t",
 				"scratch/red.TestListed failed, as listed (issue 1)\n" +
-					"        command: go test -run TestListed ./...\n        seen: known\n",
+					"        command: go test -run TestListed ./...\n        observed: known\n",
 				"scratch/red.TestFixed PASSED: ",
 				"ok  \tscratch/green\t",
 			},
 		},
 		{
-			name:     "another test fails",
+			name:     "an unlisted test fails",
 			packages: map[string]string{"red": listedFailurePackage, "other": unlistedFailurePackage},
 			list:     "scratch/red.TestListed | go test -run TestListed ./... | known | issue 1\n",
-			want:     []string{"a new fault\n", "not passed over: scratch/other.TestOther failed and is not listed\n"},
+			want:     []string{"a new fault\n", "unexpected failure: scratch/other.TestOther failed and is not listed\n"},
 			failed:   true,
 		},
 		{
 			name:     "a listed test does not exist",
 			packages: map[string]string{"green": passingPackage},
 			list:     "scratch/green.TestGone | go test -run TestGone ./... | known | issue 1\n",
-			want:     []string{"not passed over: KNOWN-RED.txt:1: no test scratch/green.TestGone ran to completion\n"},
+			want:     []string{"unexpected failure: KNOWN-RED.txt:1: no test scratch/green.TestGone ran to completion\n"},
 			failed:   true,
 		},
 		{
 			name:     "a failed listed test hides a check after the tests",
 			packages: map[string]string{"leaky": failingExitCheckPackage},
 			list:     "scratch/leaky.TestListed | go test -run TestListed ./... | known | issue 1\n",
-			want:     []string{"not passed over: scratch/leaky without its listed tests: exit status 1\n"},
+			want:     []string{"unexpected failure: rerun of scratch/leaky without its listed tests: exit status 1\n"},
 			failed:   true,
 		},
 		{
 			name:     "a listed test panics",
 			packages: map[string]string{"panicking": panickingPackage},
 			list:     "scratch/panicking.TestListed | go test -run TestListed ./... | known | issue 1\n",
-			want:     []string{"panic: boom", "not passed over: scratch/panicking ended before its tests had finished\n"},
+			want:     []string{"panic: boom", "unexpected failure: scratch/panicking ended before its tests had finished\n"},
 			failed:   true,
 		},
 		{
-			name:     "a listed test races",
+			name:     "a listed test has a data race",
 			packages: map[string]string{"racing": racingPackage},
 			list:     "scratch/racing.TestListed | go test -run TestListed ./... | known | issue 1\n",
 			flags:    []string{"-race"},
-			want:     []string{"WARNING: DATA RACE\n", "not passed over: scratch/racing reports a data race\n"},
+			want:     []string{"WARNING: DATA RACE\n", "unexpected failure: scratch/racing reports a data race\n"},
 			failed:   true,
 		},
 		{
 			name:     "the package of a listed test does not build",
 			packages: map[string]string{"broken": brokenPackage, "green": passingPackage},
 			list:     "scratch/broken.TestListed | go test -run TestListed ./... | known | issue 1\n",
-			want:     []string{"undefined: undefined\n", "not passed over: scratch/broken does not build\n", "ok  \tscratch/green\t"},
+			want:     []string{"undefined: undefined\n", "unexpected failure: scratch/broken does not build\n", "ok  \tscratch/green\t"},
 			failed:   true,
 		},
 	} {
@@ -181,11 +181,11 @@
 			command := append(append([]string{"go", "test"}, test.flags...), "./...")
 			out, err := runTestCommand(t, dir, test.list, command...)
 			if (err != nil) != test.failed {
-				t.Errorf("the run's error is %v", err)
+				t.Errorf("Run returned error %v", err)
 			}
 			for _, want := range test.want {
 				if !strings.Contains(out, want) {
-					t.Errorf("%q is not in the output", want)
+					t.Errorf("output does not contain %q", want)
 				}
 			}
 			if t.Failed() {
@@ -195,7 +195,7 @@
 	}
 }
 
-// Of ten listed tests that fail, each is printed and passed over.
+// Ten listed tests fail. Each failure is accepted and reported.
 func TestRunner_tenListedTests(t *testing.T) {
 	const listedTestCount = 10
 	var source, list strings.Builder
@@ -210,9 +210,9 @@
 	}
 	for i := range listedTestCount {
 		want := fmt.Sprintf("    scratch/red.TestListed%d failed, as listed (issue %d)\n"+
-			"        command: go test -run TestListed%d ./...\n        seen: fault %d\n", i, i+1, i, i)
+			"        command: go test -run TestListed%d ./...\n        observed: fault %d\n", i, i+1, i, i)
 		if !strings.Contains(out, want) {
-			t.Errorf("%q is not in the output", want)
+			t.Errorf("output does not contain %q", want)
 		}
 	}
 	if t.Failed() {
@@ -226,16 +226,16 @@
 		command []string
 		want    string
 	}{
-		{"another program", []string{"gotestsum", "./..."}, `"gotestsum ./..." is not of the form`},
+		{"not the go command", []string{"gotestsum", "./..."}, `"gotestsum ./..." is not of the form`},
 		{"another subcommand", []string{"go", "vet", "./..."}, `"go vet ./..." is not of the form`},
 		{"no packages", []string{"go", "test"}, `"go test" is not of the form`},
-		{"a flag last", []string{"go", "test", "-race"}, `last word "-race" does not name packages`},
-		{"a flag's value alone", []string{"go", "test", "-run", "TestA", "./..."}, `"TestA" is not a flag`},
+		{"a flag as last argument", []string{"go", "test", "-race"}, `last argument "-race" does not name packages`},
+		{"a flag and its value as two arguments", []string{"go", "test", "-run", "TestA", "./..."}, `"TestA" is not a flag`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := runTestCommand(t, t.TempDir(), "", test.command...)
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("error %v, want %q in it", err, test.want)
+				t.Errorf("error %v does not contain %q", err, test.want)
 			}
 		})
 	}
--- a/internal/testutil/disk/crash.go
+++ b/internal/testutil/disk/crash.go
@@ -8,11 +8,11 @@
 	"slices"
 )
 
-// outcomeChooser picks one of a number of outcomes, from 0 on.
-type outcomeChooser func(outcomes int) int
+// outcomeChooser selects one of several possible outcomes. It returns a number from 0 to outcomeCount-1.
+type outcomeChooser func(outcomeCount int) int
 
-// CrashImages returns every image that may be left when the power fails after the first opCount operations. Their number
-// is exponential in the unsynced sectors and names: it is for small files.
+// CrashImages returns all images that a power failure after the first opCount operations may leave. Their number grows
+// exponentially with the number of unsynced sectors and name changes, so it is only suitable for small files.
 func (d *Disk) CrashImages(opCount int) iter.Seq[Image] {
 	return func(yield func(Image) bool) {
 		var choices choiceSequence
@@ -27,17 +27,17 @@
 	}
 }
 
-// SampleCrash returns a random one of the images that may be left when the power fails after the first opCount
-// operations.
+// SampleCrash returns a random image that a power failure after the first opCount operations may leave.
 func (d *Disk) SampleCrash(opCount int, rng *rand.Rand) Image { return d.crash(opCount, rng.IntN) }
 
-// choiceSequence enumerates all sequences of choices, depth first.
+// choiceSequence enumerates all sequences of choices, depth first. It holds the current sequence.
 type choiceSequence struct {
 	chosen        []int
-	outcomeCounts []int // number of outcomes that each choice was out of
+	outcomeCounts []int // number of possible outcomes of each choice
 }
 
-// chooser returns a chooser that repeats the path and goes on with the first outcome of each choice beyond it.
+// chooser returns an outcomeChooser that replays the sequence. For each choice beyond its end it chooses the first
+// outcome and appends it to the sequence.
 func (p *choiceSequence) chooser() outcomeChooser {
 	step := 0
 	return func(outcomes int) int {
@@ -49,7 +49,7 @@
 	}
 }
 
-// advance goes to the next path. It returns false after the last one.
+// advance moves on to the next sequence. It returns false if there is none.
 func (p *choiceSequence) advance() bool {
 	last := len(p.chosen) - 1
 	for last >= 0 && p.chosen[last] == p.outcomeCounts[last]-1 {
@@ -63,20 +63,20 @@
 	return true
 }
 
-// durableState is what is certainly on a disk, and the changes that may be.
+// durableState is the synced state of a disk, plus the unsynced changes that a power failure may keep or lose.
 type durableState struct {
 	names               map[string]fileID
 	files               map[fileID]*durableFile
-	unsyncedNameChanges []Op // changes of names
+	unsyncedNameChanges []Op // name changes, oldest first
 }
 
-// durableFile is the synced content of a file, and the writes since. A folder has no content.
+// durableFile is the synced content of a file, plus the unsynced writes to it. A directory has no content.
 type durableFile struct {
 	synced         []byte
 	unsyncedWrites []Op
 }
 
-// crash replays the first operations and lets choose decide which unsynced changes are left.
+// crash replays the first opCount operations. It returns the image with the unsynced changes that choose selects.
 func (d *Disk) crash(opCount int, choose outcomeChooser) Image {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -115,10 +115,10 @@
 	}
 }
 
-// syncNames makes the changes of names in a folder durable.
-func (s *durableState) syncNames(folder string) {
+// syncNames makes the name changes in a directory durable.
+func (s *durableState) syncNames(directory string) {
 	s.unsyncedNameChanges = slices.DeleteFunc(s.unsyncedNameChanges, func(op Op) bool {
-		if filepath.Dir(op.Name) != folder {
+		if filepath.Dir(op.Name) != directory {
 			return false
 		}
 		s.applyNameChange(op, changeApplied)
@@ -126,16 +126,16 @@
 	})
 }
 
-// nameChangeOutcome is what is left of a change of a name.
+// nameChangeOutcome is the effect of an unsynced name change after a power failure.
 type nameChangeOutcome int
 
 const (
 	changeLost nameChangeOutcome = iota
 	changeApplied
-	renameKeptOldName // of a Rename: the new name is there, and the old one still is
+	renameKeptOldName // only for a Rename: both the new and the old name exist
 )
 
-// nameChangeOutcomeCount returns how many outcomes a change of a name has.
+// nameChangeOutcomeCount returns the number of possible outcomes of a name change.
 func nameChangeOutcomeCount(kind Kind) int {
 	if kind == Rename {
 		return int(renameKeptOldName) + 1
@@ -143,7 +143,7 @@
 	return int(changeApplied) + 1
 }
 
-// applyNameChange applies a change of a name with an outcome.
+// applyNameChange applies a name change with the given outcome.
 func (s *durableState) applyNameChange(op Op, outcome nameChangeOutcome) {
 	switch {
 	case outcome == changeLost:
@@ -159,22 +159,23 @@
 	}
 }
 
-// imageAfterCrash returns an image that may be left. It uses up the state.
+// imageAfterCrash returns the image with the unsynced changes that choose selects. It modifies the state, which must
+// not be used afterwards.
 func (s *durableState) imageAfterCrash(choose outcomeChooser) Image {
 	for _, op := range s.unsyncedNameChanges {
 		s.applyNameChange(op, nameChangeOutcome(choose(nameChangeOutcomeCount(op.Kind))))
 	}
 	image := Image{}
-	for _, name := range slices.Sorted(maps.Keys(s.names)) { // a folder comes before what is in it
-		folder := filepath.Dir(name)
-		if _, exists := image[folder]; exists || name == folder {
+	for _, name := range slices.Sorted(maps.Keys(s.names)) { // a directory comes before its entries
+		directory := filepath.Dir(name)
+		if _, exists := image[directory]; exists || name == directory {
 			image[name] = s.files[s.names[name]].contentAfterCrash(choose)
 		}
 	}
 	return image
 }
 
-// withWrites returns the synced content after some writes.
+// withWrites returns a copy of the synced content with the given writes applied.
 func (f *durableFile) withWrites(writes []Op) []byte {
 	content := slices.Clone(f.synced)
 	for _, op := range writes {
@@ -183,8 +184,9 @@
 	return content
 }
 
-// contentAfterCrash returns a content that may be left. Each sector is as after any of the unsynced writes to it, or as synced.
-// The length is that of the synced content, that up to the last sector that was written, or that after all writes.
+// contentAfterCrash returns the content with the unsynced writes that choose selects. Each sector has its synced
+// content or its content after any one of the unsynced writes to it. The length is that of the synced content, that up
+// to the end of the last sector that was written, or that after all writes.
 func (f *durableFile) contentAfterCrash(choose outcomeChooser) []byte {
 	if len(f.unsyncedWrites) == 0 {
 		return slices.Clone(f.synced)
@@ -212,7 +214,7 @@
 	return content[:lengths[choose(len(lengths))]]
 }
 
-// unsyncedWritesIn returns the unsynced writes to a range of bytes.
+// unsyncedWritesIn returns the unsynced writes that overlap the bytes from start up to, but not including, end.
 func (f *durableFile) unsyncedWritesIn(start, end int) []Op {
 	var writes []Op
 	for _, op := range f.unsyncedWrites {
--- a/internal/testutil/disk/disk.go
+++ b/internal/testutil/disk/disk.go
@@ -1,7 +1,11 @@
-// Package disk simulates a disk below a file system, and what it may hold after a loss of power: unsynced writes may be
-// lost, reordered and torn at sectors, changes of names in a folder that was not synced may be lost, and a file may have
-// its length without its bytes. A Disk records each operation; CrashImages and SampleCrash then return what may be left
-// after any number of them. A Disk is safe for concurrent use.
+// Package disk simulates a file system and the content of its disk after a power failure. In such a failure:
+//
+//   - unsynced writes may be lost, reordered, or torn at sector boundaries
+//   - name changes (create, rename, remove) in a directory that was not synced may be lost
+//   - a file may have its new length without the bytes that were written
+//
+// A Disk records each operation. CrashImages and SampleCrash return the images that a power failure may leave after any
+// number of recorded operations. A Disk is safe for concurrent use.
 package disk
 
 import (
@@ -14,19 +18,19 @@
 	"marblelane/internal/fsys"
 )
 
-// SectorBytes is the unit in which a disk writes: all of a sector or nothing.
+// SectorBytes is the size of a sector in bytes. The write of a sector takes effect completely or not at all.
 const SectorBytes = 512
 
-// Unlimited as Disk.FreeBytes is a disk that never becomes full.
+// Unlimited as the value of Disk.FreeBytes means that the disk never becomes full.
 const Unlimited = -1
 
-// root is the path of the root folder.
+// root is the path of the root directory.
 const root = "/"
 
 // Kind is the kind of an operation.
 type Kind uint8
 
-// The operations. Open changes nothing: it is passed to Disk.Fail, but not recorded.
+// The kinds of operations. Open changes nothing: it is passed to Disk.InjectError but not recorded.
 const (
 	Open Kind = iota
 	Create
@@ -39,41 +43,42 @@
 	Lock
 )
 
-// String returns the name of the operation.
+// String returns the name of the kind in lower case.
 func (k Kind) String() string {
 	return [...]string{"open", "create", "write", "sync", "rename", "remove", "mkdir", "syncdir", "lock"}[k]
 }
 
-// fileID identifies a file or folder whatever its name: its index in Disk.contents.
+// fileID identifies a file or directory independently of its name. It is the index in Disk.contents.
 type fileID int
 
-// Op is one operation.
+// Op is an operation on the disk.
 type Op struct {
 	Kind    Kind
-	Name    string
-	NewName string // new name, of a Rename
-	file    fileID
-	offset  int64  // of a Write
-	data    []byte // of a Write
+	Name    string // path of the file or directory
+	NewName string // new path, set for a Rename
+	file    fileID // not set for an Open or a SyncDir
+	offset  int64  // position of a Write in the file, in bytes
+	data    []byte // bytes of a Write
 }
 
 // Disk is a file system on a simulated disk.
 type Disk struct {
-	// InjectError is called before each operation, with the number of operations done before. If it returns an error, the
-	// operation fails with it and does nothing. It must not call the disk. Nil: no operation fails.
-	InjectError func(done int, op Op) error
-	// FreeBytes is how many bytes can be written until the disk is full, or Unlimited.
+	// InjectError is called before each operation, with the number of operations recorded so far. If it returns an
+	// error, the operation fails with that error and has no effect. It must not call methods of the disk. Nil injects
+	// no errors.
+	InjectError func(opCount int, op Op) error
+	// FreeBytes is the number of bytes that can be written before the disk is full, or Unlimited.
 	FreeBytes int64
 
 	mu          sync.Mutex
-	initial     Image
-	names       map[string]fileID
-	contents    [][]byte // as processes see them; nil: a folder
-	lockedFiles map[string]fileID
-	ops         []Op
+	initial     Image             // synced content at creation
+	names       map[string]fileID // by path, including unsynced name changes
+	contents    [][]byte          // by fileID, including unsynced writes, nil for a directory
+	lockedFiles map[string]fileID // by path, the file that is locked under it
+	ops         []Op              // recorded operations, oldest first
 }
 
-// New returns a disk that holds an image, all of it synced.
+// New returns a disk that holds an image. The complete image is synced.
 func New(initial Image) *Disk {
 	d := &Disk{FreeBytes: Unlimited, initial: initial, names: map[string]fileID{}, lockedFiles: map[string]fileID{}}
 	for _, name := range initial.names() {
@@ -83,14 +88,15 @@
 	return d
 }
 
-// OpCount returns how many operations were recorded.
+// OpCount returns the number of recorded operations.
 func (d *Disk) OpCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.ops)
 }
 
-// CurrentImage returns what processes see, synced or not. It is what a killed process leaves if the power does not fail.
+// CurrentImage returns the content that processes see, including unsynced changes. It is the image that remains when a
+// process is killed but the power does not fail.
 func (d *Disk) CurrentImage() Image {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,7 +107,7 @@
 	return image
 }
 
-// recordOp records an operation, unless Fail lets it fail. The caller holds d.mu.
+// recordOp records an operation. It returns an error instead if InjectError fails the operation. The caller holds d.mu.
 func (d *Disk) recordOp(op Op) error {
 	if d.InjectError != nil {
 		if err := d.InjectError(len(d.ops), op); err != nil {
@@ -118,7 +124,7 @@
 	return &fs.PathError{Op: kind.String(), Path: name, Err: err}
 }
 
-// lookup returns the file that has a name. The caller holds d.mu.
+// lookup returns the file or directory with a path. The caller holds d.mu.
 func (d *Disk) lookup(kind Kind, name string) (fileID, error) {
 	id, ok := d.names[name]
 	if !ok {
@@ -127,7 +133,7 @@
 	return id, nil
 }
 
-// createEntry creates a file or, if the content is nil, a folder. The caller holds d.mu.
+// createEntry creates a file, or a directory if content is nil. The caller holds d.mu.
 func (d *Disk) createEntry(op Op, content []byte) (fileID, error) {
 	if _, err := d.lookup(op.Kind, filepath.Dir(op.Name)); err != nil {
 		return 0, err
@@ -218,7 +224,8 @@
 	return d.recordOp(Op{Kind: SyncDir, Name: name})
 }
 
-// Lock implements fsys.FS. A new disk has no locks, whatever its image was taken from: locks end with their processes.
+// Lock implements fsys.FS. A new disk has no locks, even if files of its image were locked: a lock ends with its
+// process.
 func (d *Disk) Lock(name string) (fsys.Lock, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testutil/disk/disk_test.go
+++ b/internal/testutil/disk/disk_test.go
@@ -15,7 +15,7 @@
 	partOfSecondSector = strings.Repeat("b", 10)
 )
 
-// writeTwoSectors creates /f and writes to its first sector and then to a part of its second.
+// writeTwoSectors creates /f, writes its first sector, and then writes a part of its second sector.
 func writeTwoSectors(t *testing.T, d *Disk) {
 	t.Helper()
 	file, err := d.Create("/f")
@@ -26,7 +26,7 @@
 	}
 }
 
-// describeFile tells a missing file from an empty one.
+// describeFile returns the content of /f in a form that distinguishes a missing file from an empty one.
 func describeFile(image Image) string {
 	content, exists := image["/f"]
 	if !exists {
@@ -44,13 +44,13 @@
 	}
 	zeros := strings.Repeat("\x00", SectorBytes)
 	for name, want := range map[string]string{
-		"no name":               "missing",
-		"empty":                 "exists ",
-		"first alone":           "exists " + firstSector,
-		"first, and the length": "exists " + firstSector + zeros[:len(partOfSecondSector)],
-		"second alone":          "exists " + zeros + partOfSecondSector,
-		"length alone":          "exists " + zeros + zeros[:len(partOfSecondSector)],
-		"both":                  "exists " + firstSector + partOfSecondSector,
+		"no file":                      "missing",
+		"empty file":                   "exists ",
+		"only the first sector":        "exists " + firstSector,
+		"first sector and full length": "exists " + firstSector + zeros[:len(partOfSecondSector)],
+		"only the second sector":       "exists " + zeros + partOfSecondSector,
+		"only the full length":         "exists " + zeros + zeros[:len(partOfSecondSector)],
+		"both sectors":                 "exists " + firstSector + partOfSecondSector,
 	} {
 		assert.True(t, seen[want], name)
 	}
--- a/internal/testutil/disk/faulty_fs.go
+++ b/internal/testutil/disk/faulty_fs.go
@@ -2,14 +2,13 @@
 
 import "marblelane/internal/fsys"
 
-// FaultyFS is a file system that leaves out or delays syncs. Each of its defects has to be found by a test that checks
-// CrashImages.
+// FaultyFS is a file system that skips or delays syncs. A test that checks CrashImages must detect each of its defects.
 type FaultyFS struct {
 	fsys.FS
-	SkipFileSync    bool // files are not synced
-	SkipDirSync     bool // folders are not synced, except for the root
-	SyncAfterRename bool // files are synced after they are renamed
-	lastSyncedFile  fsys.File
+	SkipFileSync    bool      // file syncs are skipped
+	SkipDirSync     bool      // directory syncs are skipped, except those of the root
+	SyncAfterRename bool      // file syncs are delayed until after the next rename
+	lastSyncedFile  fsys.File // file whose Sync was called last
 }
 
 // Create implements fsys.FS.
@@ -38,6 +37,7 @@
 	return f.FS.SyncDir(name)
 }
 
+// faultyFile is a file whose syncs are skipped or delayed as set in its FaultyFS.
 type faultyFile struct {
 	fsys.File
 	fs *FaultyFS
--- a/internal/testutil/disk/file.go
+++ b/internal/testutil/disk/file.go
@@ -10,9 +10,9 @@
 	"marblelane/internal/fsys"
 )
 
-var errIsFolder = errors.New("is a folder")
+var errIsDirectory = errors.New("is a directory")
 
-// lock is a lock that is held.
+// lock is a held lock on a path.
 type lock struct {
 	disk *Disk
 	name string
@@ -42,7 +42,7 @@
 	disk   *Disk
 	name   string
 	id     fileID
-	offset int64 // of the next Read or Write
+	offset int64 // position of the next Read or Write, in bytes
 }
 
 // Read implements io.Reader.
@@ -58,7 +58,7 @@
 	return n, nil
 }
 
-// Write implements io.Writer. When the disk becomes full, it writes what fits.
+// Write implements io.Writer. If the disk has too little space, it writes the bytes that fit and returns ENOSPC.
 func (f *file) Write(p []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -78,7 +78,7 @@
 	return len(p), errFull
 }
 
-// applyWrite returns a content after a write. It may change the content in place.
+// applyWrite applies a write to a content and returns the result. It may change the content in place.
 func applyWrite(content []byte, write Op) []byte {
 	if missing := write.end() - int64(len(content)); missing > 0 {
 		content = append(content, make([]byte, missing)...)
@@ -87,7 +87,7 @@
 	return content
 }
 
-// end is the offset after the last byte of a write.
+// end returns the offset after the last byte of a write.
 func (op Op) end() int64 { return op.offset + int64(len(op.data)) }
 
 // Sync implements fsys.File.
@@ -97,13 +97,13 @@
 	return f.disk.recordOp(Op{Kind: Sync, Name: f.name, file: f.id})
 }
 
-// Stat implements fsys.File. All files belong to this process's user.
+// Stat implements fsys.File. All files are owned by the user of this process.
 func (f *file) Stat() (fsys.Info, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
 	content := f.disk.contents[f.id]
 	if content == nil {
-		return fsys.Info{}, errIsFolder
+		return fsys.Info{}, errIsDirectory
 	}
 	return fsys.Info{Size: int64(len(content)), Mode: 0o600, Owner: os.Geteuid()}, nil
 }
--- a/internal/testutil/disk/image.go
+++ b/internal/testutil/disk/image.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Image is the content of a disk: files by path, and folders, which are nil.
+// Image is the content of a disk: the content of each file by path. The content of a directory is nil.
 type Image map[string][]byte
 
-// names returns the paths in order: a folder comes before what is in it.
+// names returns the paths sorted, so that a directory comes before its entries.
 func (image Image) names() []string { return slices.SortedFunc(maps.Keys(image), cmp.Compare[string]) }
 
-// Key identifies the image: equal images have equal keys.
+// Key returns a key for comparisons. Equal images have equal keys.
 func (image Image) Key() string {
 	var key []byte
 	for _, name := range image.names() {
--- a/internal/testutil/explore/explore.go
+++ b/internal/testutil/explore/explore.go
@@ -1,9 +1,9 @@
-// Package explore is a small explicit-state model checker: it visits each state that a model can reach and finds the
-// first one that violates an invariant, with the events that lead to it. For a model that is small enough to be visited
-// completely this proves the invariant for all interleavings of its events.
+// Package explore is a small explicit-state model checker. It visits all reachable states of a model until it finds one
+// that violates an invariant, and reports the events that lead to that state. If it visits all states of a model and
+// finds no violation, the invariant holds for all interleavings of the model's events.
 //
-// States are identified by a hash of 128 bits of their keys, so that memory grows by some tens of bytes per state, and
-// two states with the same key are visited once.
+// States are identified by a 128-bit hash of their keys, so that each visited state takes only some tens of bytes of
+// memory. States with equal keys are visited once.
 package explore
 
 import (
@@ -14,62 +14,66 @@
 	"strings"
 )
 
-// World is a state of the model. It must not change after it was passed to an exploration.
+// World is a state of the model. It must not change after it was passed to Run or emitted by Next.
 type World interface {
-	// Key holds everything that Check and later states depend on. Of two states with the same key the second is skipped.
+	// Key returns an encoding of all data that Check and Next depend on. A state is skipped if a state with the same
+	// key was found before.
 	Key() []byte
 	// Check returns the invariant that the state violates, or nil.
 	Check() error
-	// Next calls emit for each possible next state, with the event that leads to it.
+	// Next calls emit for each possible successor state, with the event that leads to it.
 	Next(emit func(event string, w World))
 }
 
-// Options bound and order an exploration.
+// Options set the order and the limit of an exploration.
 type Options struct {
-	// BreadthFirst visits the oldest state first, so that a trace is as short as possible. Otherwise the newest state is
-	// visited first, which keeps few states in memory.
+	// BreadthFirst visits states in breadth-first order, so that the trace of a violation is as short as possible. The
+	// default is depth-first order, which keeps few states in memory.
 	BreadthFirst bool
-	// MaxStates ends an exploration of more states with ErrTooManyStates; 0: no bound.
+	// MaxStates is the maximum number of states to visit. Run returns ErrTooManyStates if there are more. 0 means no
+	// limit.
 	MaxStates int
 }
 
-// ErrTooManyStates says that the model has more states than Options.MaxStates. Those visited violate no invariant.
-var ErrTooManyStates = errors.New("explore: there are more states")
+// ErrTooManyStates is returned if the model has more states than Options.MaxStates. The visited states violate no
+// invariant.
+var ErrTooManyStates = errors.New("explore: the model has more states")
 
 // Violation is a state that violates an invariant.
 type Violation struct {
-	Trace []string // events that lead from the first state to this one
-	Err   error    // what Check returned
+	Trace []string // events from the first state to this one, oldest first
+	Err   error    // error that Check returned
 }
 
-// Error implements error.
+// Error returns the events of the trace followed by the error that Check returned.
 func (v *Violation) Error() string {
 	return strings.Join(append(slices.Clone(v.Trace), v.Err.Error()), ": ")
 }
 
-// Unwrap returns what Check returned.
+// Unwrap returns the error that Check returned.
 func (v *Violation) Unwrap() error { return v.Err }
 
-// node is a state that was reached. Its world is released once it was visited; its predecessors stay, for the trace.
+// node is a reached state. Its world is released after the visit. Its predecessors are kept for the trace.
 type node struct {
-	world       World
-	event       string
-	predecessor *node
+	world       World  // nil after the visit
+	event       string // event that leads from the predecessor to this state
+	predecessor *node  // nil for the first state
 }
 
-// stateKey identifies a state: the first 128 bits of a hash of World.Key.
+// stateKey identifies a state. It is the first 128 bits of the SHA-256 hash of World.Key.
 type stateKey [16]byte
 
-// explorer is one exploration.
+// explorer holds the state of an exploration.
 type explorer struct {
 	options     Options
 	visitedKeys map[stateKey]struct{}
-	pending     []*node
-	truncated   bool // states were left out, as there are more than MaxStates
+	pending     []*node // states to visit, oldest first
+	truncated   bool    // states were skipped because there are more than MaxStates
 }
 
-// Run visits each state that can be reached from the first. It returns the number of states that it knows, which is the
-// number of all states if there is no error. The error is a *Violation or ErrTooManyStates.
+// Run visits all states that can be reached from the first state. It returns the number of distinct states that it
+// found, which is the number of all reachable states if there is no error. The error is a *Violation or wraps
+// ErrTooManyStates.
 func Run(first World, options Options) (states int, err error) {
 	e := &explorer{options: options, visitedKeys: map[stateKey]struct{}{}}
 	e.add(&node{world: first})
@@ -87,7 +91,7 @@
 	return len(e.visitedKeys), nil
 }
 
-// add notes a state to be visited, unless it is known or the bound is reached.
+// add schedules a state for a visit, unless its key was added before or the limit is reached.
 func (e *explorer) add(n *node) {
 	sum := sha256.Sum256(n.world.Key())
 	key := stateKey(sum[:len(stateKey{})])
@@ -102,7 +106,7 @@
 	e.pending = append(e.pending, n)
 }
 
-// takeNext removes the state to visit next.
+// takeNext removes and returns the state to visit next.
 func (e *explorer) takeNext() *node {
 	if e.options.BreadthFirst {
 		oldest := e.pending[0]
@@ -115,6 +119,7 @@
 	return newest
 }
 
+// violation returns the violation of an invariant in a state, with the trace that leads to the state.
 func (n *node) violation(err error) *Violation {
 	v := &Violation{Err: err}
 	for ; n.predecessor != nil; n = n.predecessor {
--- a/internal/testutil/explore/explore_test.go
+++ b/internal/testutil/explore/explore_test.go
@@ -9,17 +9,17 @@
 	"marblelane/internal/statekey"
 )
 
-// jugs is the water jug puzzle with jugs of 3 and 5 litres. The invariant says that five never holds the wanted amount;
-// it is violated after six events for 4 litres, and never for 6.
+// jugs is the water jug puzzle with jugs of 3 and 5 litres. The invariant is that the jug of 5 litres never holds the
+// wanted amount. The shortest violation takes six events for 4 litres. There is none for 6 litres.
 type jugs struct{ three, five, wanted int64 }
 
-var errAmountMeasured = errors.New("it is measured")
+var errAmountReached = errors.New("wanted amount is reached")
 
 func (j jugs) Key() []byte { return statekey.AppendInts(nil, j.three, j.five) }
 
 func (j jugs) Check() error {
 	if j.five == j.wanted {
-		return errAmountMeasured
+		return errAmountReached
 	}
 	return nil
 }
@@ -41,20 +41,21 @@
 	for _, breadthFirst := range []bool{false, true} {
 		states, err := Run(jugs{wanted: 6}, Options{BreadthFirst: breadthFirst})
 		require.NoError(t, err)
-		require.Equal(t, 16, states, "one jug is full or empty")
+		require.Equal(t, 16, states, "all states in which a jug is full or empty")
 	}
 	_, err := Run(jugs{wanted: 4}, Options{BreadthFirst: true})
 	var violation *Violation
 	require.ErrorAs(t, err, &violation)
-	require.ErrorIs(t, err, errAmountMeasured)
+	require.ErrorIs(t, err, errAmountReached)
 	require.Equal(t, []string{"fill five", "five to three", "empty three", "five to three", "fill five", "five to three"},
 		violation.Trace)
-	require.EqualError(t, err, "fill five: five to three: empty three: five to three: fill five: five to three: it is measured")
+	require.EqualError(t, err,
+		"fill five: five to three: empty three: five to three: fill five: five to three: wanted amount is reached")
 
 	states, err := Run(jugs{wanted: 6}, Options{MaxStates: 7})
 	require.ErrorIs(t, err, ErrTooManyStates)
 	require.ErrorContains(t, err, "than 7")
 	require.Equal(t, 7, states)
 	_, err = Run(jugs{wanted: 0}, Options{})
-	require.EqualError(t, err, "it is measured", "at once")
+	require.EqualError(t, err, "wanted amount is reached", "the first state violates the invariant")
 }
--- a/internal/testutil/golden/golden.go
+++ b/internal/testutil/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden compares what is stored today with what earlier builds have written.
+// Package golden compares stored forms with files that earlier builds have written.
 package golden
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// RequireJSON compares a value's JSON with the bytes of a file in testdata. These files are what earlier builds have
-// written; they are never written anew.
+// RequireJSON fails the test unless the JSON encoding of value equals the content of a file in testdata, apart from
+// surrounding white space in the file. The files were written by earlier builds and must never be regenerated.
 func RequireJSON(t *testing.T, file string, value any) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", file))
--- a/internal/testutil/testfile/testfile.go
+++ b/internal/testutil/testfile/testfile.go
@@ -1,4 +1,4 @@
-// Package testfile reads, writes and copies files in tests, which fail where that fails.
+// Package testfile reads, writes and copies files in tests. A failed operation fails the test.
 package testfile
 
 import (
@@ -16,13 +16,13 @@
 	return content
 }
 
-// Write replaces the content of a file.
+// Write writes content to a file and replaces any previous content.
 func Write(t *testing.T, path string, content []byte) {
 	t.Helper()
 	require.NoError(t, os.WriteFile(path, content, 0o644))
 }
 
-// CopyDir copies a folder into a temporary one, and returns that.
+// CopyDir copies a directory to a temporary directory and returns its path.
 func CopyDir(t *testing.T, dir string) string {
 	t.Helper()
 	target := t.TempDir()
