--- a/internal/testutil/disk/faulty_fs.go
+++ b/internal/testutil/disk/faulty_fs.go
@@ -2,14 +2,13 @@
 
 import "marblelane/internal/fsys"
 
-// FaultyFS is a file system that leaves out or delays syncs. Each of its defects has to be found by a test that checks
-// CrashImages.
+// FaultyFS is a file system that skips or delays syncs. A test that checks CrashImages must detect each of its defects.
 type FaultyFS struct {
 	fsys.FS
-	NoFileSync   bool // files are not synced
-	NoDirSync    bool // folders are not synced, except for the root
-	LateSync     bool // files are synced after they are renamed
-	lastUnsynced fsys.File
+	SkipFileSync    bool      // file syncs are skipped
+	SkipDirSync     bool      // directory syncs are skipped, except those of the root
+	SyncAfterRename bool      // file syncs are delayed until after the next rename
+	lastSyncedFile  fsys.File // file whose Sync was called last
 }
 
 // Create implements fsys.FS.
@@ -24,20 +23,21 @@
 // Rename implements fsys.FS.
 func (f *FaultyFS) Rename(from, to string) error {
 	err := f.FS.Rename(from, to)
-	if f.LateSync && err == nil {
-		err = f.lastUnsynced.Sync()
+	if f.SyncAfterRename && err == nil {
+		err = f.lastSyncedFile.Sync()
 	}
 	return err
 }
 
 // SyncDir implements fsys.FS.
 func (f *FaultyFS) SyncDir(name string) error {
-	if f.NoDirSync && name != root {
+	if f.SkipDirSync && name != root {
 		return nil
 	}
 	return f.FS.SyncDir(name)
 }
 
+// faultyFile is a file whose syncs are skipped or delayed as set in its FaultyFS.
 type faultyFile struct {
 	fsys.File
 	fs *FaultyFS
@@ -45,8 +45,8 @@
 
 // Sync implements fsys.File.
 func (f faultyFile) Sync() error {
-	f.fs.lastUnsynced = f.File
-	if f.fs.NoFileSync || f.fs.LateSync {
+	f.fs.lastSyncedFile = f.File
+	if f.fs.SkipFileSync || f.fs.SyncAfterRename {
 		return nil
 	}
 	return f.File.Sync()
