--- a/cmd/marblelane/members_gone.go
+++ b/cmd/marblelane/members_gone.go
@@ -38,10 +38,10 @@
 		return fmt.Errorf("NAME %s: %s knows no process of this name", c.Name, c.Addr)
 	case at < 0:
 		return fmt.Errorf("START %d: %s knows of %s the starts %s", c.Start, c.Addr, c.Name, strings.Join(starts, ", "))
-	case r.Members[at].State == membership.Gone:
+	case r.Members[at].State == membership.Removed:
 		fmt.Fprintf(a.out, "%s is known to be gone already (%s)\n", idText(id), orDash(r.Members[at].Proof))
 		return nil
-	case r.Members[at].State != membership.Silent && !c.Yes:
+	case r.Members[at].State != membership.Unreachable && !c.Yes:
 		return fmt.Errorf("--yes: %s is %s at %s; it is needed for all but silent ones", idText(id), r.Members[at].State,
 			c.Addr)
 	}
--- a/cmd/marblelane/registry_replace_copy.go
+++ b/cmd/marblelane/registry_replace_copy.go
@@ -122,7 +122,7 @@
 		return false, fmt.Errorf("%w: %s is no copy", errPermanent, r.Old)
 	}
 	if why := atWork(old); why != "" && !r.Force {
-		if old.Member == membership.Gone { // just now
+		if old.Member == membership.Removed { // just now
 			return false, fmt.Errorf("%s to be silent: %s", r.Old, why)
 		}
 		return false, fmt.Errorf("%w: %s is at work, %s; --force replaces it all the same", errPermanent, r.Old, why)
@@ -179,7 +179,7 @@
 		was := false
 		for _, m := range report.Members {
 			if m.Name == r.Old && m.Role == "list" {
-				was = m.State == membership.Gone || m.State == membership.Silent
+				was = m.State == membership.Removed || m.State == membership.Unreachable
 			}
 		}
 		if was {
--- a/cmd/marblelane/registry_replace_copy_test.go
+++ b/cmd/marblelane/registry_replace_copy_test.go
@@ -132,9 +132,9 @@
 	require.Len(t, l.status(t).Replicas, 3, "nothing was begun")
 	// Frozen it is silent, which is no proof; killed its address refuses.
 	require.NoError(t, old.cmd.Process.Signal(syscall.SIGSTOP))
-	wait("its silence", func() bool { return l.stands(t, old.Name) == membership.Silent })
+	wait("its silence", func() bool { return l.stands(t, old.Name) == membership.Unreachable })
 	require.NoError(t, old.cmd.Process.Kill())
-	wait("its end", func() bool { return l.stands(t, old.Name) == membership.Gone })
+	wait("its end", func() bool { return l.stands(t, old.Name) == membership.Removed })
 	// One that does not run is not waited for with the cluster at risk: it never gets to vote.
 	notRunning := &realCopy{Peer: listserver.Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "127.0.0.1:1"}}
 	replace(exitUse, "r9 does not run", notRunning, "--within", "4s")
--- a/cmd/sidecar/members_test.go
+++ b/cmd/sidecar/members_test.go
@@ -119,13 +119,13 @@
 	for _, m := range []*member{a, fleet[2], fleet[3], fleet[4]} {
 		m.awaitState("the killed process to be gone", func() bool {
 			found := m.findMember("m1", 0)
-			return found.State == membership.Gone && found.Proof == "refused"
+			return found.State == membership.Removed && found.Proof == "refused"
 		})
 		m.awaitCounts(4, 4)
 	}
 	// A stopped process (SIGSTOP) becomes silent, but still counts.
 	fleet[2].signal(syscall.SIGSTOP)
-	a.awaitState("the stopped process to be silent", func() bool { return a.findMember("m2", 0).State == membership.Silent })
+	a.awaitState("the stopped process to be silent", func() bool { return a.findMember("m2", 0).State == membership.Unreachable })
 	for startedAt := time.Now(); time.Since(startedAt) < time.Second; time.Sleep(10 * time.Millisecond) {
 		if v := a.report().View; v.Known != 4 {
 			t.Fatalf("a stopped process does not count: %+v", v)
@@ -141,7 +141,7 @@
 	term := time.Now()
 	fleet[3].signal(syscall.SIGTERM)
 	for found := a.findMember("m3", 0); time.Since(term) < serviceEndAt; found = a.findMember("m3", 0) {
-		if found.State == membership.Gone {
+		if found.State == membership.Removed {
 			t.Fatal("the process has left while it still serves")
 		}
 	}
@@ -150,7 +150,7 @@
 	for _, m := range []*member{a, fleet[2], fleet[4]} {
 		m.awaitState("the terminated process to be gone", func() bool {
 			found := m.findMember("m3", 0)
-			return found.State == membership.Gone && found.Proof == "left"
+			return found.State == membership.Removed && found.Proof == "left"
 		})
 		m.awaitCounts(3, 3)
 	}
--- a/internal/lab/experiment/memberscale/fleet.go
+++ b/internal/lab/experiment/memberscale/fleet.go
@@ -184,7 +184,7 @@
 			switch m.State {
 			case membership.Alive, membership.Suspected:
 				alive = append(alive, roster.ID{Name: m.Name, Start: m.Start})
-			case membership.Silent:
+			case membership.Unreachable:
 				return fmt.Errorf("%s does not hear %s@%d", r.Self.Name, m.Name, m.Start)
 			}
 		}
--- a/internal/membership/collect/collect.go
+++ b/internal/membership/collect/collect.go
@@ -67,11 +67,11 @@
 	membersIn, oldestUnreachableMS := map[membership.MemberState]int{}, int64(0)
 	for _, m := range report.Members {
 		membersIn[m.State]++
-		if m.State == membership.Silent {
+		if m.State == membership.Unreachable {
 			oldestUnreachableMS = max(oldestUnreachableMS, m.SinceMS)
 		}
 	}
-	for _, state := range []membership.MemberState{membership.Alive, membership.Suspected, membership.Silent, membership.Gone} {
+	for _, state := range []membership.MemberState{membership.Alive, membership.Suspected, membership.Unreachable, membership.Removed} {
 		gauge(c.members, float64(membersIn[state]), string(state))
 	}
 	admitted := 0.0
--- a/internal/membership/commands.go
+++ b/internal/membership/commands.go
@@ -26,8 +26,8 @@
 	result chan<- error
 }
 
-// do has the owner execute a command. It fails with net.ErrClosed if the owner has ended.
-func (s *shared) do(ctx context.Context, c command) error {
+// runOnOwner has the owner execute a command. It fails with net.ErrClosed if the owner has ended.
+func (s *shared) runOnOwner(ctx context.Context, c command) error {
 	result := make(chan error, 1)
 	select {
 	case s.commands <- queuedCommand{c, result}:
@@ -39,32 +39,32 @@
 	return <-result // the owner executes each command that it has received
 }
 
-// confirmGone is an operator's word that a process is gone.
-type confirmGone struct{ id roster.ID }
+// removeMember is an operator's word that a process is gone.
+type removeMember struct{ id roster.ID }
 
-func (c confirmGone) execute(o *owner) error {
-	if o.left.Load() {
+func (c removeMember) execute(o *owner) error {
+	if o.hasLeft.Load() {
 		return fmt.Errorf("%s@%d: %w", c.id.Name, c.id.Start, net.ErrClosed)
 	}
 	if _, known := o.roster.Find(c.id); !known {
 		return fmt.Errorf("%s@%d: %w", c.id.Name, c.id.Start, ErrUnknownMember)
 	}
 	o.log.Warn("members: an operator confirms that a process is gone", "name", c.id.Name, "start", c.id.Start)
-	o.merge(o.now(), goneEntry(c.id, roster.ProofOperator))
+	o.merge(o.now(), removedEntry(c.id, roster.ProofOperator))
 	o.scanNow()
 	return nil
 }
 
-// proveConnectionRefused reports that the address of a process refuses connections. It proves the process gone if it is
+// recordConnectionRefused reports that the address of a process refuses connections. It proves the process gone if it is
 // unreachable still.
-type proveConnectionRefused struct{ id roster.ID }
+type recordConnectionRefused struct{ id roster.ID }
 
-func (c proveConnectionRefused) execute(o *owner) error {
+func (c recordConnectionRefused) execute(o *owner) error {
 	now := o.now()
-	o.observeInstance(now)
+	o.applyNodeChanges(now)
 	for _, e := range o.roster.Unreachable() {
 		if idOf(e) == c.id {
-			o.merge(now, goneEntry(c.id, roster.ProofRefused))
+			o.merge(now, removedEntry(c.id, roster.ProofRefused))
 		}
 	}
 	o.scanNow()
@@ -83,7 +83,7 @@
 type refreshStatus struct{}
 
 func (refreshStatus) execute(o *owner) error {
-	if o.scanNeeded && !o.left.Load() {
+	if o.scanNeeded && !o.hasLeft.Load() {
 		o.scanNow()
 	}
 	return nil
@@ -93,7 +93,7 @@
 type leaveFleet struct{ ctx context.Context }
 
 func (c leaveFleet) execute(o *owner) error {
-	if o.left.Swap(true) {
+	if o.hasLeft.Swap(true) {
 		return nil
 	}
 	timeout := maxLeaveTime
@@ -101,13 +101,13 @@
 		timeout = max(min(timeout, time.Until(deadline)), time.Millisecond)
 	}
 	i := o.current.Load()
-	left := goneEntry(i.id, roster.ProofLeft)
-	left.Addr, left.Observer = o.addr, o.cfg.Observer
+	entry := removedEntry(i.id, roster.ProofLeft)
+	entry.Addr, entry.Observer = o.addr, o.cfg.Observer
 	o.broadcasts.Reset()
-	o.merge(o.now(), left)
+	o.merge(o.now(), entry)
 	o.lastScan = neverScanned
 	o.publish(o.now()) // it gives up its quota before anybody counts it out
-	text := encodeEntries(kindEntries, left).bytes()
+	text := encodeEntries(kindEntries, entry).bytes()
 	o.sendToReachable(i, text)
 	if !i.transport.closed.Load() { // else its library has ended, and cannot broadcast
 		// Two rounds of gossip are enough: all reachable members got it directly.
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -61,18 +61,18 @@
 
 // Bounds of the configuration. The texts of a member fit into the library's metadata together. Texts are in bytes.
 const (
-	maxName    = 64 // as in package roster
-	maxZone    = 64
-	maxRole    = 32
-	maxVersion = 64
-	maxFleet   = 64
-	maxSeeds   = 64
-	maxAddr    = 64
-
-	minInterval = 20 * time.Millisecond
-	maxInterval = time.Minute
-	maxAdmit    = 10 * time.Minute
-	maxStart    = 1 << 53 // the largest integer that JSON numbers carry exactly
+	maxNameBytes    = 64 // as in package roster
+	maxZoneBytes    = 64
+	maxRoleBytes    = 32
+	maxVersionBytes = 64
+	maxFleetBytes   = 64
+	maxSeeds        = 64
+	maxAddrBytes    = 64
+
+	minInterval    = 20 * time.Millisecond
+	maxInterval    = time.Minute
+	maxAdmitWithin = 10 * time.Minute
+	maxStart       = 1 << 53 // the largest integer that JSON numbers carry exactly
 )
 
 // Config converts the section. An error names the key.
@@ -122,9 +122,9 @@
 
 // checkSection checks the fields that a Section sets.
 func (c *Config) checkSection() error {
-	errs := []error{withKey("fleet", checkText(c.Fleet, 1, maxFleet)),
+	errs := []error{withKey("fleet", checkText(c.Fleet, 1, maxFleetBytes)),
 		withKey("interval", checkRange(c.Interval, minInterval, maxInterval)),
-		withKey("admit_within", checkRange(c.AdmitWithin, time.Millisecond, maxAdmit))}
+		withKey("admit_within", checkRange(c.AdmitWithin, time.Millisecond, maxAdmitWithin))}
 	if c.Transport == nil || c.Bind != "" {
 		errs = append(errs, withKey("bind", checkHostPort(c.Bind, 0)))
 	}
@@ -164,9 +164,9 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	c.Peers = max(c.Peers, 1)
-	errs := []error{c.checkSection(), withKey("name", checkText(c.Name, 1, maxName)),
-		withKey("zone", checkText(c.Zone, 0, maxZone)), withKey("role", checkText(c.Role, 0, maxRole)),
-		withKey("version", checkText(c.Version, 0, maxVersion))}
+	errs := []error{c.checkSection(), withKey("name", checkText(c.Name, 1, maxNameBytes)),
+		withKey("zone", checkText(c.Zone, 0, maxZoneBytes)), withKey("role", checkText(c.Role, 0, maxRoleBytes)),
+		withKey("version", checkText(c.Version, 0, maxVersionBytes))}
 	if c.Start < 0 || c.Start >= maxStart {
 		errs = append(errs, withKey("start", fmt.Errorf("%d is no time in Unix milliseconds", c.Start)))
 	}
@@ -210,8 +210,8 @@
 	return nil
 }
 
-// checkCallable checks that a member may have an address and that others can call it.
-func checkCallable(networks []netip.Prefix, ip netip.Addr) error {
+// checkMemberAddr checks that a member may have an address and that others can call it.
+func checkMemberAddr(networks []netip.Prefix, ip netip.Addr) error {
 	if !ip.IsValid() || ip.IsUnspecified() || ip.IsMulticast() {
 		return fmt.Errorf("%v is no address to call", ip)
 	}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -24,13 +24,13 @@
 }
 
 func TestGoldenMessages(t *testing.T) {
-	joining, known := processID{"process-0", 1_700_000_000_000}, processID{"process-2", 1_700_000_000_002}
+	joining, acknowledging := processID{"process-0", 1_700_000_000_000}, processID{"process-2", 1_700_000_000_002}
 	request := encodeEntries(kindAckRequest, goldenEntries()[0])
-	request.By = joining
+	request.Sender = joining
 	for name, want := range map[string]message{
 		"entries": encodeEntries(kindEntries, goldenEntries()...),
 		"ask":     request,
-		"ack":     {Version: messageVersion, Kind: kindAck, By: known, To: joining, Digest: 1<<63 + 1},
+		"ack":     {Version: messageVersion, Kind: kindAck, Sender: acknowledging, Acknowledged: joining, Digest: 1<<63 + 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			stored, err := os.ReadFile("testdata/golden/message-" + name + ".json")
--- a/internal/membership/group.go
+++ b/internal/membership/group.go
@@ -50,15 +50,15 @@
 	view    atomic.Pointer[roster.View]
 	peers   atomic.Pointer[peerSnapshot]
 	current atomic.Pointer[instance]
-	left    atomic.Bool // this process has said that it leaves
+	hasLeft atomic.Bool // this process has said that it leaves
 
 	ctx       context.Context // ended by Close
 	cancel    func()
 	ownerDone chan struct{} // closed when the owner has ended
 
 	// To the owner.
-	commands chan queuedCommand
-	wake     chan struct{} // an instance has something for it
+	commands  chan queuedCommand
+	ownerWake chan struct{} // an instance has something for it
 	// To the joiner.
 	exchanges chan exchangeRequest
 	joinWake  chan struct{} // members became unreachable, or this process starts anew
@@ -85,7 +85,7 @@
 	s := newShared(cfg)
 	if s.transport == nil {
 		t, err := transport.Open(transport.Config{Bind: cfg.Bind, Advertise: cfg.Advertise, Networks: cfg.Networks,
-			Log: cfg.Log, Dropped: s.counters.drop})
+			Log: cfg.Log, Dropped: s.counters.countDrop})
 		if err != nil {
 			return nil, fmt.Errorf("members: %w", err)
 		}
@@ -105,7 +105,7 @@
 
 func newShared(cfg Config) *shared {
 	s := &shared{cfg: cfg, log: cfg.Log, startedAt: time.Now(), transport: cfg.Transport, status: newStatusTable(),
-		ownerDone: make(chan struct{}), commands: make(chan queuedCommand), wake: make(chan struct{}, 1),
+		ownerDone: make(chan struct{}), commands: make(chan queuedCommand), ownerWake: make(chan struct{}, 1),
 		exchanges: make(chan exchangeRequest, 1), joinWake: make(chan struct{}, 1), probeWake: make(chan struct{}, 1)}
 	s.peers.Store(&peerSnapshot{})
 	s.view.Store(&roster.View{Known: cfg.Peers, Reachable: 1})
@@ -127,24 +127,24 @@
 // now is the group's clock: the time since Open.
 func (s *shared) now() time.Duration { return time.Since(s.startedAt) }
 
-// size returns the number of reachable members, this process included. The library retransmits broadcasts accordingly.
-func (s *shared) size() int { return len(s.peers.Load().reachable) + 1 }
+// reachableCount returns the number of reachable members, this process included. The library retransmits broadcasts accordingly.
+func (s *shared) reachableCount() int { return len(s.peers.Load().reachable) + 1 }
 
 // View returns what this process goes by now.
 func (g *Group) View() roster.View { return *g.view.Load() }
 
-// ConfirmGone records an operator's word that a process is gone. It fails with ErrUnknownMember if the process is not
+// RemoveMember records an operator's word that a process is gone. It fails with ErrUnknownMember if the process is not
 // known. A process that runs takes a new incarnation and joins again.
-func (g *Group) ConfirmGone(id roster.ID) error {
+func (g *Group) RemoveMember(id roster.ID) error {
 	if err := checkID(id); err != nil {
 		return fmt.Errorf("%s@%d: %w", id.Name, id.Start, err)
 	}
-	return g.do(context.Background(), confirmGone{id})
+	return g.runOnOwner(context.Background(), removeMember{id})
 }
 
 // Leave tells the other members that this process leaves, and sends nothing after that. It returns when this was said or
 // ctx has ended. Calls after the first do nothing.
-func (g *Group) Leave(ctx context.Context) error { return g.do(ctx, leaveFleet{ctx}) }
+func (g *Group) Leave(ctx context.Context) error { return g.runOnOwner(ctx, leaveFleet{ctx}) }
 
 // Close ends the group without a word to the others. The library's own goroutines end with what they wait for, within a
 // few intervals.
@@ -158,8 +158,8 @@
 	return g.closeErr
 }
 
-// signal wakes the receiver, unless it has a signal already.
-func signal(c chan<- struct{}) {
+// wakeUp wakes the receiver, unless it has a wakeUp already.
+func wakeUp(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -31,9 +31,9 @@
 
 // testNetwork connects the processes of a test. Nothing passes between different sides.
 type testNetwork struct {
-	mu     sync.Mutex
-	sides  map[string]int  // by address
-	frozen map[string]bool // by address: connections are accepted there, and nothing is answered
+	mu         sync.Mutex
+	partitions map[string]int  // by address
+	frozen     map[string]bool // by address: connections are accepted there, and nothing is answered
 }
 
 func (w *testNetwork) update(f func()) {
@@ -62,7 +62,7 @@
 
 func (x *testTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	x.network.mu.Lock()
-	lost := x.network.sides[x.addr] != x.network.sides[a.Addr] || x.network.frozen[x.addr] || x.network.frozen[a.Addr]
+	lost := x.network.partitions[x.addr] != x.network.partitions[a.Addr] || x.network.frozen[x.addr] || x.network.frozen[a.Addr]
 	x.network.mu.Unlock()
 	x.onSend(len(b))
 	if lost {
@@ -73,12 +73,12 @@
 
 func (x *testTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	x.network.mu.Lock()
-	cut, mute := x.network.sides[x.addr] != x.network.sides[a.Addr] || x.network.frozen[x.addr], x.network.frozen[a.Addr]
+	partitioned, frozenTarget := x.network.partitions[x.addr] != x.network.partitions[a.Addr] || x.network.frozen[x.addr], x.network.frozen[a.Addr]
 	x.network.mu.Unlock()
 	switch {
-	case cut:
+	case partitioned:
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
-	case mute:
+	case frozenTarget:
 		here, _ := net.Pipe()
 		return here, here.SetDeadline(time.Now().Add(timeout))
 	}
@@ -99,15 +99,15 @@
 
 func newTestFleet(t *testing.T) *testFleet {
 	ip := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
-	return &testFleet{t, &testNetwork{sides: map[string]int{}, frozen: map[string]bool{}}, ip, map[string]*Group{}}
+	return &testFleet{t, &testNetwork{partitions: map[string]int{}, frozen: map[string]bool{}}, ip, map[string]*Group{}}
 }
 
-func (f *testFleet) open(name string, set func(*Config), seeds ...string) *Group {
+func (f *testFleet) open(name string, configure func(*Config), seeds ...string) *Group {
 	f.Helper()
 	cfg := Config{Name: name, Fleet: "test", Zone: "z1", Role: "sidecar", Version: "1", Bind: f.ip + ":0", Seeds: seeds,
 		Interval: testInterval, AdmitWithin: time.Minute, TrustRefused: true}
-	if set != nil {
-		set(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
 	if cfg.Transport == nil {
 		cfg.Transport = f.transport(f.T, cfg.Bind)
@@ -120,16 +120,16 @@
 }
 
 // openAll opens n groups and waits until all know each other. The first one is alone and is admitted by timeout.
-func (f *testFleet) openAll(n int, set func(*Config)) []*Group {
+func (f *testFleet) openAll(n int, configure func(*Config)) []*Group {
 	f.Helper()
 	all := []*Group{f.open("p0", func(c *Config) {
 		c.AdmitWithin = testInterval
-		if set != nil {
-			set(c)
+		if configure != nil {
+			configure(c)
 		}
 	})}
 	for i := range n - 1 {
-		all = append(all, f.open(fmt.Sprint("p", i+1), set, all[0].addr))
+		all = append(all, f.open(fmt.Sprint("p", i+1), configure, all[0].addr))
 	}
 	f.eventually("all know each other", func() bool {
 		return !slices.ContainsFunc(all, func(g *Group) bool {
@@ -174,8 +174,8 @@
 	return sum
 }
 
-// knows returns a condition on the number of known members.
-func knows(g *Group, n int) func() bool { return func() bool { return g.View().Known == n } }
+// knownCountIs returns a condition on the number of known members.
+func knownCountIs(g *Group, n int) func() bool { return func() bool { return g.View().Known == n } }
 
 // unusedAddr returns an address that refuses connections.
 func (f *testFleet) unusedAddr() string {
@@ -250,7 +250,7 @@
 	t.Parallel()
 	f := newTestFleet(t)
 	g := f.openAll(2, func(c *Config) { c.Defect, c.TrustRefused = DefectTrustDetector, false })
-	f.update(func() { f.sides[g[1].addr] = 1 })
+	f.update(func() { f.partitions[g[1].addr] = 1 })
 	f.eventually("each side takes the whole", func() bool { return quotaSum(g...) > 1 })
 }
 
@@ -261,8 +261,8 @@
 	require.NoError(t, g[1].Close())
 	f.eventually("silent", func() bool { return stateOf(g[0], "p1") == "silent" })
 	require.Equal(t, 2, g[0].View().Known)
-	require.ErrorIs(t, g[0].ConfirmGone(roster.ID{Name: "p1", Start: 1}), ErrUnknownMember)
-	require.NoError(t, g[0].ConfirmGone(g[1].Report().Self))
+	require.ErrorIs(t, g[0].RemoveMember(roster.ID{Name: "p1", Start: 1}), ErrUnknownMember)
+	require.NoError(t, g[0].RemoveMember(g[1].Report().Self))
 	require.Equal(t, "gone told", stateOf(g[0], "p1"))
 	require.Equal(t, 1, g[0].View().Known)
 }
@@ -329,12 +329,12 @@
 	})
 }
 
-func TestGroup_ConfirmGoneOfRunning(t *testing.T) {
+func TestGroup_RemoveRunningMember(t *testing.T) {
 	t.Parallel()
 	f := newTestFleet(t)
 	g := f.openAll(3, nil)
 	before := g[2].Report().Self
-	require.NoError(t, g[0].ConfirmGone(before))
+	require.NoError(t, g[0].RemoveMember(before))
 	f.eventually("it takes a greater start, which all know", func() bool {
 		return g[2].Report().Self.Start > before.Start && !slices.ContainsFunc(g, func(g *Group) bool {
 			return g.View() != roster.View{Known: 3, Reachable: 3, Admitted: true}
@@ -343,11 +343,11 @@
 	require.EqualValues(t, 1, g[2].counters.startsRaised.Load())
 }
 
-func TestGroup_LongSplit(t *testing.T) {
+func TestGroup_LongPartition(t *testing.T) {
 	t.Parallel()
 	f := newTestFleet(t)
 	g := f.openAll(4, nil)
-	f.update(func() { f.sides[g[2].addr], f.sides[g[3].addr] = 1, 1 })
+	f.update(func() { f.partitions[g[2].addr], f.partitions[g[3].addr] = 1, 1 })
 	f.eventually("both sides see two of four", func() bool {
 		require.LessOrEqual(t, quotaSum(g...), 1.)
 		return !slices.ContainsFunc(g, func(g *Group) bool { return g.View().Reachable != 2 })
@@ -357,7 +357,7 @@
 		require.LessOrEqual(t, quotaSum(g...), 1.)
 		return time.Now().After(end)
 	})
-	f.update(func() { clear(f.sides) })
+	f.update(func() { clear(f.partitions) })
 	f.eventually("one fleet again", func() bool {
 		return !slices.ContainsFunc(g, func(g *Group) bool { return g.View().Reachable != 4 || g.View().Known != 4 })
 	})
@@ -383,7 +383,7 @@
 		require.NoError(t, g[1].current.Load().library.SendToAddress(memberlist.Address{Addr: g[0].addr}, []byte(m)))
 	}
 	f.eventually("dropped and counted", func() bool {
-		d := g[0].counters.dropped()
+		d := g[0].counters.dropsByReason()
 		return d["label"] > 0 && d["node"] > 0 && d["message"] >= 4
 	})
 	require.Equal(t, 2, g[0].View().Known)
--- a/internal/membership/http.go
+++ b/internal/membership/http.go
@@ -23,28 +23,28 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /members", g.serveReport)
 	mux.HandleFunc("POST /members/leave", g.serveLeave)
-	mux.HandleFunc("POST /members/gone", g.serveGone)
+	mux.HandleFunc("POST /members/gone", g.serveRemove)
 	return mux
 }
 
 func (g *Group) serveReport(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	out := json.NewEncoder(w)
+	encoder := json.NewEncoder(w)
 	if r.URL.Query().Get("watch") == "" {
-		_ = out.Encode(g.Report()) // fails only if the caller has gone
+		_ = encoder.Encode(g.Report()) // fails only if the caller has gone
 		return
 	}
-	g.watch(r.Context(), w, out)
+	g.watchReport(r.Context(), w, encoder)
 }
 
-// watch writes a report at each change until the caller or the owner has gone.
-func (g *Group) watch(ctx context.Context, w http.ResponseWriter, out *json.Encoder) {
+// watchReport writes a report at each change until the caller or the owner has gone.
+func (g *Group) watchReport(ctx context.Context, w http.ResponseWriter, encoder *json.Encoder) {
 	flush := http.NewResponseController(w)
 	idle := time.NewTicker(watchIdleInterval)
 	defer idle.Stop()
 	for {
 		changed := g.status.nextChange()
-		if out.Encode(g.Report()) != nil || flush.Flush() != nil {
+		if encoder.Encode(g.Report()) != nil || flush.Flush() != nil {
 			return
 		}
 		for waiting := true; waiting; {
@@ -64,13 +64,15 @@
 	}
 }
 
-func (g *Group) serveLeave(w http.ResponseWriter, r *http.Request) { answer(w, g.Leave(r.Context())) }
+func (g *Group) serveLeave(w http.ResponseWriter, r *http.Request) {
+	writeResult(w, g.Leave(r.Context()))
+}
 
-func (g *Group) serveGone(w http.ResponseWriter, r *http.Request) {
+func (g *Group) serveRemove(w http.ResponseWriter, r *http.Request) {
 	var id roster.ID
-	in := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
-	in.DisallowUnknownFields()
-	if err := in.Decode(&id); err != nil {
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&id); err != nil {
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -78,10 +80,10 @@
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	answer(w, g.ConfirmGone(id))
+	writeResult(w, g.RemoveMember(id))
 }
 
-func answer(w http.ResponseWriter, err error) {
+func writeResult(w http.ResponseWriter, err error) {
 	switch {
 	case err == nil:
 		w.WriteHeader(http.StatusNoContent)
--- a/internal/membership/instance.go
+++ b/internal/membership/instance.go
@@ -30,7 +30,7 @@
 	pushPull   *pushPullCache
 	received   *messageQueue
 	wake       chan<- struct{}
-	dropped    func(why string)
+	countDrop  func(why string)
 
 	mu sync.Mutex
 	// alive holds the failure detector's verdicts by node name. It is a state and no stream, so none can be lost.
@@ -60,7 +60,7 @@
 	conf.Name = nodeName(i.id)
 	conf.Transport = i.transport
 	conf.Delegate, conf.Events, conf.Alive, conf.Conflict, conf.Ping = i, i, i, i, i
-	conf.Logger = newStandardLogger(newLibraryLog(log, i.suspect, i.dropped))
+	conf.Logger = newStandardLogger(newLibraryLog(log, i.markSuspected, i.countDrop))
 	library, err := memberlist.Create(conf)
 	if err != nil {
 		i.transport.closed.Store(true)
@@ -112,17 +112,17 @@
 	if len(i.changed) == 0 {
 		return nil
 	}
-	out := make([]nodeChange, 0, len(i.changed))
+	changes := make([]nodeChange, 0, len(i.changed))
 	for id, node := range i.changed {
 		if id != i.id {
-			out = append(out, nodeChange{id, i.alive[node]})
+			changes = append(changes, nodeChange{id, i.alive[node]})
 		}
 	}
 	if len(i.changed) > maxIdleChanges {
 		i.changed = map[roster.ID]string{}
 	}
 	clear(i.changed)
-	return out
+	return changes
 }
 
 // markChanged has the next takeChanges return these nodes, too.
--- a/internal/membership/instance_delegate.go
+++ b/internal/membership/instance_delegate.go
@@ -19,17 +19,17 @@
 
 // NotifyAlive rejects nodes that are not of the form that this package gives them.
 func (i *instance) NotifyAlive(n *memberlist.Node) error {
-	if _, err := i.parse(n); err != nil {
-		i.dropped("node")
+	if _, err := i.parseNode(n); err != nil {
+		i.countDrop("node")
 		return err
 	}
 	i.setSuspected(n.Name, false)
 	return nil
 }
 
-// parse checks a node. The library reports the same one many times, so the result is reused while the node is alive, and
+// parseNode checks a node. The library reports the same one many times, so the result is reused while the node is alive, and
 // between NotifyAlive and NotifyJoin.
-func (i *instance) parse(n *memberlist.Node) (*peer, error) {
+func (i *instance) parseNode(n *memberlist.Node) (*peer, error) {
 	i.mu.Lock()
 	alive, last := i.alive[n.Name], i.lastParsed
 	i.mu.Unlock()
@@ -51,7 +51,7 @@
 
 // NotifyJoin records that a node is alive.
 func (i *instance) NotifyJoin(n *memberlist.Node) {
-	p, err := i.parse(n)
+	p, err := i.parseNode(n)
 	if err != nil {
 		return // NotifyAlive has rejected it
 	}
@@ -59,7 +59,7 @@
 	i.alive[n.Name] = &aliveNode{peer: p}
 	i.changed[p.id] = n.Name
 	i.mu.Unlock()
-	signal(i.wake)
+	wakeUp(i.wake)
 }
 
 // NotifyUpdate records that a node has changed its metadata or address.
@@ -73,22 +73,22 @@
 		delete(i.alive, n.Name)
 	}
 	i.mu.Unlock()
-	signal(i.wake)
+	wakeUp(i.wake)
 }
 
 // NotifyConflict records that two addresses claim one node name. The library keeps the first.
 func (i *instance) NotifyConflict(existing, _ *memberlist.Node) {
-	i.dropped("conflict")
+	i.countDrop("conflict")
 	if existing.Name == nodeName(i.id) {
 		i.mu.Lock()
 		i.conflict = true
 		i.mu.Unlock()
-		signal(i.wake)
+		wakeUp(i.wake)
 	}
 }
 
-// suspect records that this process suspects a node.
-func (i *instance) suspect(node string) { i.setSuspected(node, true) }
+// markSuspected records that this process suspects a node.
+func (i *instance) markSuspected(node string) { i.setSuspected(node, true) }
 
 func (i *instance) setSuspected(node string, suspected bool) {
 	i.mu.Lock()
@@ -100,7 +100,7 @@
 	}
 	i.mu.Unlock()
 	if changed {
-		signal(i.wake)
+		wakeUp(i.wake)
 	}
 }
 
@@ -133,13 +133,13 @@
 	}
 	m, err := decodeMessage(b, i.networks)
 	if err != nil {
-		i.dropped("message")
+		i.countDrop("message")
 		return
 	}
 	for range i.received.push(m) {
-		i.dropped("ring")
+		i.countDrop("ring")
 	}
-	signal(i.wake)
+	wakeUp(i.wake)
 }
 
 // GetBroadcasts returns entries to broadcast.
--- a/internal/membership/join_limiter.go
+++ b/internal/membership/join_limiter.go
@@ -32,8 +32,8 @@
 	return &joinLimiter{bucket: rate.NewLimiter(full, joinBurst), fullRate: full, slowdown: 1}
 }
 
-// wait takes a token for one call and returns 0, or returns how long there is none.
-func (l *joinLimiter) wait() time.Duration {
+// reserve takes a token for one call and returns 0, or returns how long there is none.
+func (l *joinLimiter) reserve() time.Duration {
 	reservation := l.bucket.Reserve()
 	delay := reservation.Delay()
 	if delay > 0 {
@@ -42,8 +42,8 @@
 	return delay
 }
 
-// lateTimer lowers the rate, as a late timer shows that the machine is short of processors.
-func (l *joinLimiter) lateTimer() { l.setSlowdown(l.slowdown * lateTimerFactor) }
+// recordLateTimer lowers the rate, as a late timer shows that the machine is short of processors.
+func (l *joinLimiter) recordLateTimer() { l.setSlowdown(l.slowdown * lateTimerFactor) }
 
 // recordResult adapts the rate to the result of a call.
 func (l *joinLimiter) recordResult(err error) {
--- a/internal/membership/join_limiter_test.go
+++ b/internal/membership/join_limiter_test.go
@@ -13,19 +13,19 @@
 func TestJoinLimiter(t *testing.T) {
 	l := newJoinLimiter(time.Hour) // no token is added meanwhile
 	for range joinBurst {
-		require.Zero(t, l.wait())
+		require.Zero(t, l.reserve())
 	}
-	first := l.wait()
+	first := l.reserve()
 	require.InDelta(t, time.Hour/joinsPerInterval, first, float64(time.Minute))
 	for range 20 {
-		l.lateTimer()
+		l.recordLateTimer()
 		l.recordResult(errors.New("refused"))
 	}
-	require.InDelta(t, maxJoinSlowdown*time.Hour/joinsPerInterval, l.wait(), float64(maxJoinSlowdown*time.Minute))
+	require.InDelta(t, maxJoinSlowdown*time.Hour/joinsPerInterval, l.reserve(), float64(maxJoinSlowdown*time.Minute))
 	for range 5 {
 		l.recordResult(nil)
 	}
-	require.InDelta(t, first, l.wait(), float64(time.Minute), "it recovers")
+	require.InDelta(t, first, l.reserve(), float64(time.Minute), "it recovers")
 }
 
 func TestPushPull_UnreportedEntries(t *testing.T) {
@@ -37,7 +37,7 @@
 	f.eventually("silent", func() bool { return stateOf(g[0], "p2") == "silent" })
 	m, err := decodeMessage(g[0].current.Load().LocalState(false), nil)
 	require.NoError(t, err)
-	require.Equal(t, []roster.Entry{{Name: "p2", Start: g[2].cfg.Start, Addr: g[2].addr}}, m.roster())
+	require.Equal(t, []roster.Entry{{Name: "p2", Start: g[2].cfg.Start, Addr: g[2].addr}}, m.rosterEntries())
 	joining := f.open("p3", func(c *Config) { c.TrustRefused = false }, g[0].addr)
 	f.eventually("a joining process learns of the silent one", func() bool { return joining.View().Known == 4 })
 }
--- a/internal/membership/joiner.go
+++ b/internal/membership/joiner.go
@@ -16,10 +16,10 @@
 
 	// The pause between two attempts grows from a tenth of an interval to maxJoinPause intervals.
 	firstJoinPauseFraction = 10
-	maxJoinPause           = 15
+	maxJoinPauseIntervals  = 15
 	joinPauseFactor        = 1.3
-	// aloneJoinPause is the longest pause, in intervals, of a process that reaches no other: no member would call it.
-	aloneJoinPause = 2
+	// aloneJoinPauseIntervals is the longest pause, in intervals, of a process that reaches no other: no member would call it.
+	aloneJoinPauseIntervals = 2
 	// lateTimerFraction: a timer that fires this part of an interval late shows that the machine is short of processors.
 	lateTimerFraction = 4
 )
@@ -30,17 +30,17 @@
 	*shared
 	pause   *backoff.ExponentialBackOff
 	limiter *joinLimiter
-	due     time.Time // when the timer should fire
+	dueAt   time.Time // when the timer should fire
 	round   []string  // addresses to try before any is tried again
 	seeds   []string  // addresses as they were resolved last
-	// requested counts the exchanges that the owner requested.
-	requested int
+	// requestedExchanges counts the exchanges that the owner requestedExchanges.
+	requestedExchanges int
 }
 
 func newJoiner(s *shared) *joiner {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval = s.cfg.Interval / firstJoinPauseFraction
-	pause.MaxInterval = maxJoinPause * s.cfg.Interval
+	pause.MaxInterval = maxJoinPauseIntervals * s.cfg.Interval
 	pause.Multiplier = joinPauseFactor
 	return &joiner{shared: s, pause: pause, limiter: newJoinLimiter(s.cfg.Interval)}
 }
@@ -49,8 +49,8 @@
 func (j *joiner) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	j.due = time.Now()
-	for !j.left.Load() {
+	j.dueAt = time.Now()
+	for !j.hasLeft.Load() {
 		select {
 		case <-j.ctx.Done():
 			return
@@ -67,8 +67,8 @@
 // exchangeTarget returns the address for a requested exchange. Every other time it is a reachable seed, if there is one:
 // joining processes contact the seeds first, so seeds know most.
 func (j *joiner) exchangeTarget(r exchangeRequest) string {
-	j.requested++
-	if j.requested%2 == 1 && len(j.seeds) > 0 {
+	j.requestedExchanges++
+	if j.requestedExchanges%2 == 1 && len(j.seeds) > 0 {
 		if seed := j.seeds[rand.IntN(len(j.seeds))]; j.peers.Load().reachable[seed] {
 			return seed
 		}
@@ -84,14 +84,14 @@
 }
 
 func (j *joiner) schedule(wait time.Duration) time.Duration {
-	j.due = time.Now().Add(wait)
+	j.dueAt = time.Now().Add(wait)
 	return wait
 }
 
 // attemptNext exchanges with the next address of the round, and returns the time to wait after that.
 func (j *joiner) attemptNext() time.Duration {
-	if time.Since(j.due) > j.cfg.Interval/lateTimerFraction {
-		j.limiter.lateTimer()
+	if time.Since(j.dueAt) > j.cfg.Interval/lateTimerFraction {
+		j.limiter.recordLateTimer()
 	}
 	if len(j.round) == 0 {
 		j.round, j.seeds = j.candidates()
@@ -100,26 +100,26 @@
 	for len(j.round) > 0 && reachable[j.round[0]] {
 		j.round = j.round[1:]
 	}
-	limited := time.Duration(0)
+	limiterWait := time.Duration(0)
 	if len(j.round) > 0 {
-		if limited = j.limiter.wait(); limited == 0 {
+		if limiterWait = j.limiter.reserve(); limiterWait == 0 {
 			err := j.exchange(j.round[0])
 			if j.limiter.recordResult(err); err == nil {
-				_ = j.do(j.ctx, scanMembers{}) // so that members that are reachable now are skipped
+				_ = j.runOnOwner(j.ctx, scanMembers{}) // so that members that are reachable now are skipped
 			}
 			j.round = j.round[1:]
 		}
 	}
 	pause := j.pause.NextBackOff()
 	if len(reachable) == 0 {
-		pause = min(pause, aloneJoinPause*j.cfg.Interval)
+		pause = min(pause, aloneJoinPauseIntervals*j.cfg.Interval)
 	}
-	return j.schedule(max(pause, limited))
+	return j.schedule(max(pause, limiterWait))
 }
 
 // exchange performs a push/pull with another process.
 func (j *joiner) exchange(addr string) error {
-	if j.left.Load() || j.ctx.Err() != nil {
+	if j.hasLeft.Load() || j.ctx.Err() != nil {
 		return nil
 	}
 	if _, err := j.current.Load().library.Join([]string{addr}); err != nil {
--- a/internal/membership/library_log.go
+++ b/internal/membership/library_log.go
@@ -14,18 +14,18 @@
 // dropped a packet. Its warnings are logged at a limited rate, with the number of suppressed ones; all else at debug level.
 type libraryLog struct {
 	log        *slog.Logger
-	limit      *rate.Limiter
+	limiter    *rate.Limiter
 	suppressed atomic.Uint64
-	suspect    func(node string)
-	dropped    func(reason string)
+	onSuspect  func(node string)
+	onDrop     func(reason string)
 }
 
 func newLibraryLog(log *slog.Logger, suspect, dropped func(string)) *libraryLog {
-	return &libraryLog{log: log, limit: rate.NewLimiter(1, 5), suspect: suspect, dropped: dropped}
+	return &libraryLog{log: log, limiter: rate.NewLimiter(1, 5), onSuspect: suspect, onDrop: dropped}
 }
 
-// droppedLines are the beginnings of the library's lines about what it dropped, and the reasons under which they count.
-var droppedLines = [...]struct{ prefix, reason string }{
+// dropPrefixes are the beginnings of the library's lines about what it dropped, and the reasons under which they count.
+var dropPrefixes = [...]struct{ prefix, reason string }{
 	{"discarding packet with unacceptable label", "label"},
 	{"discarding stream with unacceptable label", "label"},
 	{"unexpected double", "label"},
@@ -56,22 +56,22 @@
 	}
 	if suspicion, ok := strings.CutPrefix(text, "Suspect "); ok && level == "INFO" {
 		if node, _, ok := strings.Cut(suspicion, " has failed"); ok {
-			l.suspect(node)
+			l.onSuspect(node)
 		}
 	}
 	if strings.Contains(text, "stream label header: EOF") {
 		level = "DEBUG" // a caller sent nothing, as a prober does
 	}
-	for _, r := range droppedLines {
+	for _, r := range dropPrefixes {
 		if level != "DEBUG" && strings.HasPrefix(text, r.prefix) {
-			l.dropped(r.reason)
+			l.onDrop(r.reason)
 			break
 		}
 	}
 	switch {
 	case level == "DEBUG" || level == "INFO":
 		l.log.Log(context.Background(), slog.LevelDebug, "members: "+text)
-	case l.limit.Allow():
+	case l.limiter.Allow():
 		l.log.Warn("members: "+text, "suppressed", l.suppressed.Swap(0))
 	default:
 		l.suppressed.Add(1)
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -23,18 +23,18 @@
 
 // Bounds of a message. A push/pull may carry all entries of a large roster.
 const (
-	maxMessage = 2 << 20 // bytes
-	maxEntries = 8192
+	maxMessageBytes = 2 << 20 // bytes
+	maxEntries      = 8192
 )
 
 // message is what processes send to each other, in JSON.
 type message struct {
-	Version int         `json:"v"`
-	Kind    kind        `json:"k"`
-	Entries []wireEntry `json:"e,omitempty"`
-	By      processID   `json:"b,omitzero"` // the sender of an acknowledgement or its request
-	To      processID   `json:"t,omitzero"` // the process that is acknowledged
-	Digest  uint64      `json:"d,omitempty"`
+	Version      int         `json:"v"`
+	Kind         kind        `json:"k"`
+	Entries      []wireEntry `json:"e,omitempty"`
+	Sender       processID   `json:"b,omitzero"` // the sender of an acknowledgement or its request
+	Acknowledged processID   `json:"t,omitzero"` // the process that is acknowledged
+	Digest       uint64      `json:"d,omitempty"`
 }
 
 // processID is roster.ID on the wire.
@@ -76,8 +76,8 @@
 // program may have more kinds.
 func decodeMessage(b []byte, networks []netip.Prefix) (message, error) {
 	var m message
-	if len(b) > maxMessage {
-		return m, fmt.Errorf("message of %d bytes is longer than %d", len(b), maxMessage)
+	if len(b) > maxMessageBytes {
+		return m, fmt.Errorf("message of %d bytes is longer than %d", len(b), maxMessageBytes)
 	}
 	if err := json.Unmarshal(b, &m); err != nil {
 		return message{}, fmt.Errorf("message: %w", err)
@@ -93,20 +93,20 @@
 			return message{}, fmt.Errorf("message: %w", err)
 		}
 	}
-	if err := m.checkSender(); err != nil {
+	if err := m.checkProcessIDs(); err != nil {
 		return message{}, fmt.Errorf("message %s: %w", m.Kind, err)
 	}
 	return m, nil
 }
 
-// checkSender checks the processes that a message of its kind must name.
-func (m message) checkSender() error {
+// checkProcessIDs checks the processes that a message of its kind must name.
+func (m message) checkProcessIDs() error {
 	var ids []processID
 	switch m.Kind {
 	case kindAckRequest:
-		ids = []processID{m.By}
+		ids = []processID{m.Sender}
 	case kindAck:
-		ids = []processID{m.By, m.To}
+		ids = []processID{m.Sender, m.Acknowledged}
 	}
 	for _, id := range ids {
 		if err := checkID(roster.ID(id)); err != nil {
@@ -114,14 +114,14 @@
 		}
 	}
 	if m.Kind == kindAckRequest && !m.hasOwnEntry() {
-		return fmt.Errorf("%s@%d does not say where it is", m.By.Name, m.By.Start)
+		return fmt.Errorf("%s@%d does not say where it is", m.Sender.Name, m.Sender.Start)
 	}
 	return nil
 }
 
 // hasOwnEntry reports whether the message has one entry, which is its sender's and has an address.
 func (m message) hasOwnEntry() bool {
-	return len(m.Entries) == 1 && processID{m.Entries[0].Name, m.Entries[0].Start} == m.By && m.Entries[0].Addr != ""
+	return len(m.Entries) == 1 && processID{m.Entries[0].Name, m.Entries[0].Start} == m.Sender && m.Entries[0].Addr != ""
 }
 
 func (e wireEntry) check(networks []netip.Prefix) error {
@@ -135,10 +135,10 @@
 		return nil
 	}
 	at, err := netip.ParseAddrPort(e.Addr)
-	if err != nil || len(e.Addr) > maxAddr || at.Port() == 0 {
+	if err != nil || len(e.Addr) > maxAddrBytes || at.Port() == 0 {
 		return fmt.Errorf("entry %q: %q is no IP:PORT", e.Name, e.Addr)
 	}
-	return withEntryName(e.Name, checkCallable(networks, at.Addr()))
+	return withEntryName(e.Name, checkMemberAddr(networks, at.Addr()))
 }
 
 func withEntryName(name string, err error) error {
@@ -148,8 +148,8 @@
 	return fmt.Errorf("entry %q: %w", name, err)
 }
 
-// roster returns the entries in the form of package roster.
-func (m message) roster() []roster.Entry {
+// rosterEntries returns the entries in the form of package rosterEntries.
+func (m message) rosterEntries() []roster.Entry {
 	out := make([]roster.Entry, len(m.Entries))
 	for i, e := range m.Entries {
 		out[i] = roster.Entry{Name: e.Name, Start: e.Start, Gone: e.Gone, Proof: roster.Proof(e.Proof), Addr: e.Addr,
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -19,8 +19,8 @@
 // nodeName is the library's name of a process: each incarnation is a node of its own.
 func nodeName(id roster.ID) string { return id.Name + "@" + strconv.FormatInt(id.Start, 10) }
 
-// parseNode parses a node's name. It accepts only the form that nodeName gives.
-func parseNode(node string) (roster.ID, error) {
+// parseNodeName parses a node's name. It accepts only the form that nodeName gives.
+func parseNodeName(node string) (roster.ID, error) {
 	at := strings.LastIndexByte(node, '@')
 	if at < 0 {
 		return roster.ID{}, fmt.Errorf("node %q is no NAME@START", node)
@@ -38,7 +38,7 @@
 	if id.Start <= 0 || id.Start >= maxStart {
 		return fmt.Errorf("start %d of %q is no time in Unix milliseconds", id.Start, id.Name)
 	}
-	return checkText(id.Name, 1, maxName)
+	return checkText(id.Name, 1, maxNameBytes)
 }
 
 // meta is a node's metadata, in JSON. Fields that a newer program adds are ignored, and those that an older one lacks are
@@ -69,8 +69,8 @@
 	if err := json.Unmarshal(b, &m); err != nil {
 		return meta{}, fmt.Errorf("metadata: %w", err)
 	}
-	return m, errors.Join(checkID(roster.ID{Name: m.Name, Start: m.Start}), checkText(m.Zone, 0, maxZone),
-		checkText(m.Role, 0, maxRole), checkText(m.Version, 0, maxVersion))
+	return m, errors.Join(checkID(roster.ID{Name: m.Name, Start: m.Start}), checkText(m.Zone, 0, maxZoneBytes),
+		checkText(m.Role, 0, maxRoleBytes), checkText(m.Version, 0, maxVersionBytes))
 }
 
 // peer is a checked node of the library.
@@ -91,7 +91,7 @@
 
 // parsePeer checks a node that the library reports.
 func parsePeer(n *memberlist.Node, networks []netip.Prefix) (peer, error) {
-	id, err := parseNode(n.Name)
+	id, err := parseNodeName(n.Name)
 	if err != nil {
 		return peer{}, err
 	}
@@ -106,7 +106,7 @@
 	if !ok || n.Port == 0 {
 		return peer{}, fmt.Errorf("node %s has no address", n.Name)
 	}
-	if err := checkCallable(networks, ip); err != nil {
+	if err := checkMemberAddr(networks, ip); err != nil {
 		return peer{}, fmt.Errorf("node %s: %w", n.Name, err)
 	}
 	m.Name = id.Name // shares the memory of both
--- a/internal/membership/owner.go
+++ b/internal/membership/owner.go
@@ -36,20 +36,20 @@
 	broadcasts memberlist.TransmitLimitedQueue
 	pushPull   pushPullCache
 
-	reachable        map[roster.ID]*aliveNode    // by the failure detector
-	observedInstance *instance                   // to which reachable belongs
-	pending          map[roster.ID]time.Duration // processes to broadcast (see broadcastPending), and since when
-	ackRequests      []roster.Entry              // processes that wait for this one's acknowledgement
+	reachable         map[roster.ID]*aliveNode    // by the failure detector
+	observedInstance  *instance                   // to which reachable belongs
+	pendingBroadcasts map[roster.ID]time.Duration // processes to broadcast (see broadcastPending), and since when
+	ackRequests       []roster.Entry              // processes that wait for this one's acknowledgement
 
-	acks     ackProgress
-	exchange exchangeSchedule
-	raise    startRaise
+	acks       ackProgress
+	exchange   exchangeSchedule
+	startRaise startRaise
 
 	rosterChangedAt time.Duration
-	viewSentAt      time.Duration
+	viewNotifiedAt  time.Duration
 	lastScan        time.Duration
 	scanNeeded      bool // something has changed since the last scan
-	namesCoexist    bool // several alive processes share a name and may become duplicates
+	hasSharedNames  bool // several alive processes share a name and may become duplicates
 }
 
 // startOwner starts the library and the roster, but not the owner's goroutine.
@@ -64,10 +64,10 @@
 			Observer: s.cfg.Observer},
 		roster: roster.New(0, roster.Options{Self: id, Addr: s.addr, Observer: s.cfg.Observer, Peers: s.cfg.Peers,
 			AdmitWithin: s.cfg.AdmitWithin}),
-		reachable: map[roster.ID]*aliveNode{}, pending: map[roster.ID]time.Duration{}, scanNeeded: true,
+		reachable: map[roster.ID]*aliveNode{}, pendingBroadcasts: map[roster.ID]time.Duration{}, scanNeeded: true,
 		lastScan: neverScanned}
 	o.received.maxWeight = maxQueueWeight
-	o.broadcasts = memberlist.TransmitLimitedQueue{RetransmitMult: retransmitMultiplier, NumNodes: s.size}
+	o.broadcasts = memberlist.TransmitLimitedQueue{RetransmitMult: retransmitMultiplier, NumNodes: s.reachableCount}
 	o.entries()
 	return o, o.startInstance(id)
 }
@@ -84,18 +84,18 @@
 		case c := <-o.commands:
 			c.result <- c.execute(o)
 			continue
-		case <-o.wake:
+		case <-o.ownerWake:
 		case <-timer.C:
 		}
-		o.process()
+		o.runRound()
 		timer.Reset(o.pause())
 	}
 }
 
 // pause returns how long the owner waits if nothing wakes it.
 func (o *owner) pause() time.Duration {
-	pause := max(o.viewSentAt+viewInterval-o.now(), minOwnerPause)
-	if o.left.Load() {
+	pause := max(o.viewNotifiedAt+viewInterval-o.now(), minOwnerPause)
+	if o.hasLeft.Load() {
 		pause = viewInterval
 	} else if v := o.view.Load(); !v.Admitted || o.acks.missing && !v.Forced {
 		pause = min(pause, ackRequestInterval)
@@ -114,32 +114,32 @@
 // scanDue reports whether to scan all members.
 func (o *owner) scanDue(now time.Duration) bool {
 	elapsed := now - o.lastScan
-	timed := o.namesCoexist || o.raise.laterSince > 0 // these depend on time alone
+	timed := o.hasSharedNames || o.startRaise.laterSince > 0 // these depend on time alone
 	return o.scanNeeded && elapsed >= o.scanPause() || timed && elapsed >= viewInterval-viewIntervalSlack
 }
 
 // scanNow is a round with a scan, whenever the last one was.
 func (o *owner) scanNow() {
 	o.lastScan = neverScanned
-	o.process()
+	o.runRound()
 }
 
-// process is one round of the owner: it handles all that has arrived, and acts on it.
-func (o *owner) process() {
-	if o.left.Load() {
+// runRound is one round of the owner: it handles all that has arrived, and acts on it.
+func (o *owner) runRound() {
+	if o.hasLeft.Load() {
 		return
 	}
 	now := o.now()
 	messages := o.received.take()
 	// First, so that what the library reports before a message does is not broadcast.
-	o.observeInstance(now)
+	o.applyNodeChanges(now)
 	for _, m := range messages {
 		o.handleMessage(now, m)
 	}
 	o.broadcastPending(now)
 	o.resolveConflict(now)
 	if o.scanDue(now) {
-		o.proveReplaced(now)
+		o.removeReplaced(now)
 		o.raiseStart(now)
 	}
 	o.restartInstance()
@@ -148,8 +148,8 @@
 	o.sendAcks() // after the members they count were published
 }
 
-// observeInstance takes over the failure detector's verdicts.
-func (o *owner) observeInstance(now time.Duration) {
+// applyNodeChanges takes over the failure detector's verdicts.
+func (o *owner) applyNodeChanges(now time.Duration) {
 	i := o.current.Load()
 	if i != o.observedInstance {
 		i.markChanged(o.reachable)
@@ -165,21 +165,21 @@
 		if c.node != nil {
 			o.reachable[c.id] = c.node
 			if before == nil {
-				o.nodeJoined(now, c.id, c.node)
+				o.addJoinedNode(now, c.id, c.node)
 			}
 			continue
 		}
 		delete(o.reachable, c.id)
 		o.roster.SetReachable(now, c.id, false)
 		if o.cfg.Defect == DefectTrustDetector {
-			o.merge(now, goneEntry(c.id, roster.ProofOperator))
+			o.merge(now, removedEntry(c.id, roster.ProofOperator))
 		}
 	}
 }
 
-// nodeJoined adds a node that has become reachable to the roster, if there is room for it.
-func (o *owner) nodeJoined(now time.Duration, id roster.ID, n *aliveNode) {
-	entries := o.withinBound([]roster.Entry{{Name: id.Name, Start: id.Start, Addr: n.addr, Observer: n.meta.Observer}})
+// addJoinedNode adds a node that has become reachable to the roster, if there is room for it.
+func (o *owner) addJoinedNode(now time.Duration, id roster.ID, n *aliveNode) {
+	entries := o.limitEntries([]roster.Entry{{Name: id.Name, Start: id.Start, Addr: n.addr, Observer: n.meta.Observer}})
 	if o.merge(now, entries...); len(entries) > 0 {
 		o.roster.SetReachable(now, id, true)
 	}
@@ -187,7 +187,7 @@
 
 func idOf(e roster.Entry) roster.ID { return roster.ID{Name: e.Name, Start: e.Start} }
 
-// goneEntry is the entry that proves a process gone.
-func goneEntry(id roster.ID, proof roster.Proof) roster.Entry {
+// removedEntry is the entry that proves a process gone.
+func removedEntry(id roster.ID, proof roster.Proof) roster.Entry {
 	return roster.Entry{Name: id.Name, Start: id.Start, Gone: id.Start, Proof: proof}
 }
--- a/internal/membership/owner_acks.go
+++ b/internal/membership/owner_acks.go
@@ -70,13 +70,13 @@
 // requestExchange has the joiner exchange all knowledge with another process, if it is time. While many join, broadcasts
 // bring most processes together, so it waits for the roster to be quiet.
 func (o *owner) requestExchange(now time.Duration, addr string) {
-	x := &o.exchange
-	if x.wantedSince == 0 {
-		x.wantedSince = now
+	schedule := &o.exchange
+	if schedule.wantedSince == 0 {
+		schedule.wantedSince = now
 	}
 	quietTime := min(exchangeQuietTime, 2*o.scanPause())
-	rosterBusy := now-o.rosterChangedAt < quietTime && now-x.wantedSince < maxExchangeDelay
-	if now < x.notBefore || rosterBusy {
+	rosterBusy := now-o.rosterChangedAt < quietTime && now-schedule.wantedSince < maxExchangeDelay
+	if now < schedule.notBefore || rosterBusy {
 		return
 	}
 	select {
@@ -84,12 +84,12 @@
 	default: // another request waits, whose exchange may be enough
 		return
 	}
-	x.wantedSince = now
+	schedule.wantedSince = now
 	shortest := minExchangePause * time.Duration(max(len(o.reachable), exchangePauseFleet)) / exchangePauseFleet
-	x.pause = min(max(x.pause*3/2, shortest), maxExchangePause)
-	x.notBefore = now + x.pause/2 + rand.N(x.pause)
+	schedule.pause = min(max(schedule.pause*3/2, shortest), maxExchangePause)
+	schedule.notBefore = now + schedule.pause/2 + rand.N(schedule.pause)
 	if o.view.Load().Forced {
-		x.notBefore = now + forcedExchangePause
+		schedule.notBefore = now + forcedExchangePause
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	self, i := o.roster.Self(), o.current.Load()
 	request := encodeEntries(kindAckRequest, roster.Entry{Name: self.Name, Start: self.Start, Addr: o.addr})
-	request.By, request.Digest = processID(self), o.roster.Digest()
+	request.Sender, request.Digest = processID(self), o.roster.Digest()
 	text := request.bytes()
 	for _, e := range unacknowledged {
 		if e.Addr != "" {
@@ -132,7 +132,7 @@
 // sendAcks acknowledges the processes that requested it. The published view counts them by then.
 func (o *owner) sendAcks() {
 	for _, e := range o.ackRequests {
-		ack := message{Kind: kindAck, By: processID(o.roster.Self()), To: processID(idOf(e)), Digest: o.roster.Digest()}
+		ack := message{Kind: kindAck, Sender: processID(o.roster.Self()), Acknowledged: processID(idOf(e)), Digest: o.roster.Digest()}
 		o.send(o.current.Load(), idOf(e), e.Addr, ack.bytes())
 	}
 	o.ackRequests = nil
--- a/internal/membership/owner_identity.go
+++ b/internal/membership/owner_identity.go
@@ -15,9 +15,9 @@
 
 	// A process raises its start at most maxStartRaises times, and only within startRaiseWindow intervals after it first
 	// reached another member. The process with the later start must have been unreachable for startRaiseDelay intervals.
-	maxStartRaises   = 3
-	startRaiseWindow = 60
-	startRaiseDelay  = 5
+	maxStartRaises            = 3
+	startRaiseWindowIntervals = 60
+	startRaiseDelayIntervals  = 5
 )
 
 // startRaise follows processes of this one's name with a later start (see owner.raiseStart).
@@ -36,7 +36,7 @@
 		return err
 	}
 	i := &instance{id: id, meta: text, networks: o.cfg.Networks, broadcasts: &o.broadcasts, pushPull: &o.pushPull,
-		received: &o.received, wake: o.wake, dropped: o.counters.drop}
+		received: &o.received, wake: o.ownerWake, countDrop: o.counters.countDrop}
 	if err := i.start(&o.cfg, o.transport, o.log); err != nil {
 		return err
 	}
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// proveReplaced proves a process gone if another one has its address: a later one of its name, or one of another name
+// removeReplaced proves a process gone if another one has its address: a later one of its name, or one of another name
 // while the process is unreachable. Of processes of different names the starts prove nothing, as their clocks differ.
-func (o *owner) proveReplaced(now time.Duration) {
+func (o *owner) removeReplaced(now time.Duration) {
 	self := o.roster.Self()
 	owners := map[string]roster.ID{o.addr: self} // by address
 	for id, n := range o.reachable {
@@ -66,7 +66,7 @@
 		}
 		sameName := current.Name == e.Name
 		if sameName && current.Start > e.Start || !sameName && o.reachable[id] == nil {
-			o.merge(now, goneEntry(id, roster.ProofAddressReused))
+			o.merge(now, removedEntry(id, roster.ProofAddressReused))
 		}
 	}
 }
@@ -75,28 +75,28 @@
 // the wall clock was set back. Only a process that joined lately does so: to one that has been there for long, the later
 // start is its own upgrade, which is cut off.
 func (o *owner) raiseStart(now time.Duration) {
-	if o.raise.firstReachableAt == 0 && len(o.reachable) > 0 {
-		o.raise.firstReachableAt = now
+	if o.startRaise.firstReachableAt == 0 && len(o.reachable) > 0 {
+		o.startRaise.firstReachableAt = now
 	}
 	later, found := o.unreachableLaterStart()
 	if !found {
-		o.raise.laterSince = 0
+		o.startRaise.laterSince = 0
 		return
 	}
-	if o.raise.laterSince == 0 {
-		o.raise.laterSince = now
+	if o.startRaise.laterSince == 0 {
+		o.startRaise.laterSince = now
 	}
-	mayRaise := o.raise.count < maxStartRaises && now-o.raise.firstReachableAt <= startRaiseWindow*o.cfg.Interval
-	hasEnded := !later.Present() || later.Addr == o.addr || now-o.raise.laterSince >= startRaiseDelay*o.cfg.Interval
+	mayRaise := o.startRaise.count < maxStartRaises && now-o.startRaise.firstReachableAt <= startRaiseWindowIntervals*o.cfg.Interval
+	hasEnded := !later.Present() || later.Addr == o.addr || now-o.startRaise.laterSince >= startRaiseDelayIntervals*o.cfg.Interval
 	if !mayRaise || !hasEnded {
 		return
 	}
 	self := o.roster.Self()
-	o.raise.count++
+	o.startRaise.count++
 	o.log.Warn("members: the start is raised, as an earlier process has a later one; the clock was set back",
 		"name", self.Name, "start", self.Start, "earlier_start", later.Start)
-	o.merge(now, goneEntry(self, roster.ProofAddressReused))
-	o.raise.laterSince = 0
+	o.merge(now, removedEntry(self, roster.ProofAddressReused))
+	o.startRaise.laterSince = 0
 }
 
 // unreachableLaterStart returns the first unreachable process of this one's name with a later start.
@@ -115,32 +115,32 @@
 func (o *owner) resolveConflict(now time.Duration) {
 	if self := o.roster.Self(); o.current.Load().takeConflict() {
 		o.log.Warn("members: another process has the same name and start", "name", self.Name, "start", self.Start)
-		o.merge(now, goneEntry(self, roster.ProofAddressReused))
+		o.merge(now, removedEntry(self, roster.ProofAddressReused))
 	}
 }
 
 // restartInstance starts the library anew if this process was proved gone and has a new incarnation. The old node
 // leaves first, so that it is not taken for a duplicate.
 func (o *owner) restartInstance() {
-	id, old := o.roster.Self(), o.current.Load()
-	if id == old.id {
+	id, oldInstance := o.roster.Self(), o.current.Load()
+	if id == oldInstance.id {
 		return
 	}
-	if !old.transport.closed.Load() {
+	if !oldInstance.transport.closed.Load() {
 		o.counters.startsRaised.Add(1)
 		o.log.Warn("members: proved gone while running; joins again", "name", id.Name, "start", id.Start,
-			"earlier_start", old.id.Start)
+			"earlier_start", oldInstance.id.Start)
 		o.publish(o.now()) // it gives up its quota first
 		if len(o.reachable) > 0 {
-			_ = old.library.Leave(maxRestartLeaveTime) // the others notice without it, only later
+			_ = oldInstance.library.Leave(maxRestartLeaveTime) // the others notice without it, only later
 		}
-		old.shutdown()
+		oldInstance.shutdown()
 	}
 	if err := o.startInstance(id); err != nil {
 		o.log.Warn("members: join again failed", "err", err) // the next round attempts it again
 		return
 	}
-	signal(o.joinWake)
+	wakeUp(o.joinWake)
 	for _, n := range o.reachable {
 		select {
 		case o.exchanges <- exchangeRequest{n.addr}: // any one of them knows the others
--- a/internal/membership/owner_messages.go
+++ b/internal/membership/owner_messages.go
@@ -20,25 +20,25 @@
 )
 
 func (o *owner) handleMessage(now time.Duration, m message) {
-	o.merge(now, o.withinBound(m.roster())...)
-	by := roster.ID(m.By)
+	o.merge(now, o.limitEntries(m.rosterEntries())...)
+	by := roster.ID(m.Sender)
 	switch m.Kind {
 	case kindAckRequest:
 		if by != o.roster.Self() {
-			o.ackRequests = append(o.ackRequests, m.roster()...)
+			o.ackRequests = append(o.ackRequests, m.rosterEntries()...)
 		}
 	case kindAck:
-		if roster.ID(m.To) == o.roster.Self() {
+		if roster.ID(m.Acknowledged) == o.roster.Self() {
 			o.handleAck(now, by, m.Digest)
 		}
 	}
 }
 
-// withinBound leaves out entries of unknown processes that do not fit into the roster. A sender may invent any number of
+// limitEntries leaves out entries of unknown processes that do not fit into the roster. A sender may invent any number of
 // them.
-func (o *owner) withinBound(entries []roster.Entry) []roster.Entry {
-	known := o.roster.Len()
-	if known+len(entries) <= maxEntries {
+func (o *owner) limitEntries(entries []roster.Entry) []roster.Entry {
+	knownCount := o.roster.Len()
+	if knownCount+len(entries) <= maxEntries {
 		return entries
 	}
 	added := map[roster.ID]bool{}
@@ -47,8 +47,8 @@
 		if _, isKnown := o.roster.Find(id); isKnown || added[id] {
 			return false
 		}
-		if known+len(added) >= maxEntries {
-			o.counters.drop("full")
+		if knownCount+len(added) >= maxEntries {
+			o.counters.countDrop("full")
 			return true
 		}
 		added[id] = true
@@ -65,7 +65,7 @@
 		if !e.Present() {
 			o.broadcast(e)
 		} else if id != o.roster.Self() && o.reachable[id] == nil {
-			o.pending[id] = now
+			o.pendingBroadcasts[id] = now
 		}
 		if o.status.members[id] != nil && !e.Present() {
 			o.log.Info("members: gone", "name", e.Name, "start", e.Gone, "proof", proofText(e.Proof))
@@ -79,11 +79,11 @@
 
 // broadcastPending broadcasts the entries that the library did not report in time.
 func (o *owner) broadcastPending(now time.Duration) {
-	for id, since := range o.pending {
+	for id, since := range o.pendingBroadcasts {
 		if now-since < broadcastDelayIntervals*o.cfg.Interval && o.reachable[id] == nil {
 			continue
 		}
-		delete(o.pending, id)
+		delete(o.pendingBroadcasts, id)
 		if e, known := o.roster.Find(id); known && e.Present() && o.reachable[id] == nil {
 			o.broadcast(e)
 		}
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -57,64 +57,64 @@
 		case <-p.probeWake:
 		case <-timer.C:
 		}
-		if p.left.Load() {
+		if p.hasLeft.Load() {
 			return
 		}
-		next := p.probeDue()
+		next := p.probeDueMembers()
 		timer.Reset(max(time.Until(next), p.cfg.Interval/probesPerInterval))
 	}
 }
 
-// probeDue calls the unreachable members whose time has come, and returns the time of the next call.
-func (p *prober) probeDue() time.Time {
-	unreachable := p.provableMembers()
+// probeDueMembers calls the unreachable members whose time has come, and returns the time of the next call.
+func (p *prober) probeDueMembers() time.Time {
+	unreachable := p.probeTargets()
 	for id := range p.scheduled {
-		if _, still := unreachable[id]; !still {
+		if _, stillUnreachable := unreachable[id]; !stillUnreachable {
 			delete(p.scheduled, id)
 		}
 	}
 	next := time.Now().Add(probeIdleTime)
 	for id, e := range unreachable {
-		s := p.scheduled[id]
-		if s == nil {
-			s = p.firstProbe()
-			p.scheduled[id] = s
+		probe := p.scheduled[id]
+		if probe == nil {
+			probe = p.newScheduledProbe()
+			p.scheduled[id] = probe
 		}
-		if !time.Now().Before(s.at) && p.limiter.Allow() { // else it is called in the next round
-			if p.refuses(e.Addr) {
-				_ = p.do(p.ctx, proveConnectionRefused{id}) // fails only if the owner has ended
+		if !time.Now().Before(probe.at) && p.limiter.Allow() { // else it is called in the next round
+			if p.connectionRefused(e.Addr) {
+				_ = p.runOnOwner(p.ctx, recordConnectionRefused{id}) // fails only if the owner has ended
 			}
-			s.at = time.Now().Add(s.pause.NextBackOff())
+			probe.at = time.Now().Add(probe.pause.NextBackOff())
 		}
-		if s.at.Before(next) {
-			next = s.at
+		if probe.at.Before(next) {
+			next = probe.at
 		}
 	}
 	return next
 }
 
-// firstProbe schedules the first call of a member at a random time, so that not all members call it at once.
-func (p *prober) firstProbe() *scheduledProbe {
+// newScheduledProbe schedules the first call of a member at a random time, so that not all members call it at once.
+func (p *prober) newScheduledProbe() *scheduledProbe {
 	wait := time.Duration(rand.Int64N(2 * int64(p.cfg.Interval)))
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = p.cfg.Interval, maxProbePause
 	return &scheduledProbe{at: time.Now().Add(wait), pause: pause}
 }
 
-// provableMembers returns the unreachable members whose address proves something if it refuses connections.
-func (p *prober) provableMembers() map[roster.ID]roster.Entry {
-	provable := map[roster.ID]roster.Entry{}
+// probeTargets returns the unreachable members whose address proves something if it refuses connections.
+func (p *prober) probeTargets() map[roster.ID]roster.Entry {
+	targets := map[roster.ID]roster.Entry{}
 	for _, e := range p.peers.Load().unreachable {
-		if p.isProvable(e.Addr) {
-			provable[idOf(e)] = e
+		if p.isProbeTarget(e.Addr) {
+			targets[idOf(e)] = e
 		}
 	}
-	return provable
+	return targets
 }
 
-// isProvable is false for this process's own address, and for a loopback address if this process has another: that one
+// isProbeTarget is false for this process's own address, and for a loopback address if this process has another: that one
 // is of another host.
-func (p *prober) isProvable(addr string) bool {
+func (p *prober) isProbeTarget(addr string) bool {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil || addr == p.addr {
 		return false
@@ -123,8 +123,8 @@
 	return err == nil && (!at.Addr().IsLoopback() || own.Addr().IsLoopback())
 }
 
-// refuses reports whether an address refuses connections.
-func (p *prober) refuses(addr string) bool {
+// connectionRefused reports whether an address connectionRefused connections.
+func (p *prober) connectionRefused(addr string) bool {
 	if p.ctx.Err() != nil {
 		return false
 	}
--- a/internal/membership/push_pull.go
+++ b/internal/membership/push_pull.go
@@ -14,30 +14,30 @@
 	entries    []roster.Entry
 	unreported []roster.Entry // those that the library's list does not cover
 	once       sync.Once
-	text       []byte
+	encoded    []byte
 }
 
 // bytes returns the message of the push/pull. It is encoded at the first call.
 func (s *pushPullState) bytes() []byte {
 	s.once.Do(func() {
-		s.text = encodeEntries(kindEntries, s.unreported[:min(len(s.unreported), maxEntries)]...).bytes()
+		s.encoded = encodeEntries(kindEntries, s.unreported[:min(len(s.unreported), maxEntries)]...).bytes()
 	})
-	return s.text
+	return s.encoded
 }
 
 // pushPullCache holds the latest snapshot. The owner rebuilds it; instances read it.
 type pushPullCache struct {
-	latest  atomic.Pointer[pushPullState]
-	current bool // latest is up to date; only for the owner
+	latest   atomic.Pointer[pushPullState]
+	upToDate bool // latest is up to date; only for the owner
 }
 
-func (c *pushPullCache) invalidate() { c.current = false }
+func (c *pushPullCache) invalidate() { c.upToDate = false }
 
 // get returns the snapshot, rebuilt if it is out of date.
 func (c *pushPullCache) get(build func() *pushPullState) *pushPullState {
-	if !c.current {
+	if !c.upToDate {
 		c.latest.Store(build())
-		c.current = true
+		c.upToDate = true
 	}
 	return c.latest.Load()
 }
--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -18,10 +18,10 @@
 
 // The states of a member.
 const (
-	Alive     MemberState = "alive"
-	Suspected MemberState = "suspected" // it did not answer, and may refute the suspicion
-	Silent    MemberState = "silent"    // dead by the failure detector, but not proved gone: it counts
-	Gone      MemberState = "gone"      // proved gone
+	Alive       MemberState = "alive"
+	Suspected   MemberState = "suspected" // it did not answer, and may refute the suspicion
+	Unreachable MemberState = "silent"    // dead by the failure detector, but not proved gone: it counts
+	Removed     MemberState = "gone"      // proved gone
 )
 
 // Member is one process as another one sees it.
@@ -56,18 +56,18 @@
 func (g *Group) Report() Report {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	_ = g.do(ctx, refreshStatus{}) // the last state is good enough
+	_ = g.runOnOwner(ctx, refreshStatus{}) // the last state is good enough
 	r := Report{Fleet: g.cfg.Fleet, Self: g.current.Load().id, UnixMS: time.Now().UnixMilli(),
-		Dropped: g.counters.droppedTotal(), View: g.View()}
+		Dropped: g.counters.totalDrops(), View: g.View()}
 	if g.cfg.EstimatedSize != nil {
 		r.EstimatedSize = g.cfg.EstimatedSize()
 	}
-	g.status.fill(&r, g.now())
+	g.status.addMembers(&r, g.now())
 	return r
 }
 
-// fill adds the members to a report.
-func (t *statusTable) fill(r *Report, now time.Duration) {
+// addMembers adds the members to a report.
+func (t *statusTable) addMembers(r *Report, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.self.Name != "" {
@@ -75,29 +75,29 @@
 	}
 	r.Changes, r.Members = t.changes, make([]Member, 0, len(t.members))
 	for id, m := range t.members {
-		r.Members = append(r.Members, m.member(id, now))
+		r.Members = append(r.Members, m.toMember(id, now))
 	}
 	slices.SortFunc(r.Members, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start))
 	})
 }
 
-// member returns the status in the form of a report.
-func (m *memberStatus) member(id roster.ID, now time.Duration) Member {
-	out := Member{Name: id.Name, Start: id.Start, Addr: m.addr, State: m.state, SinceMS: (now - m.since).Milliseconds(),
+// toMember returns the status in the form of a report.
+func (m *memberStatus) toMember(id roster.ID, now time.Duration) Member {
+	member := Member{Name: id.Name, Start: id.Start, Addr: m.addr, State: m.state, SinceMS: (now - m.since).Milliseconds(),
 		LastAliveMS: -1, Duplicate: m.duplicate}
 	if m.meta != nil {
-		out.Zone, out.Role, out.Version = m.meta.Zone, m.meta.Role, m.meta.Version
+		member.Zone, member.Role, member.Version = m.meta.Zone, m.meta.Role, m.meta.Version
 	}
 	if m.alive() {
-		out.LastAliveMS = 0
+		member.LastAliveMS = 0
 	} else if m.lastAlive >= 0 {
-		out.LastAliveMS = (now - m.lastAlive).Milliseconds()
+		member.LastAliveMS = (now - m.lastAlive).Milliseconds()
 	}
-	if m.state == Gone {
-		out.Proof = proofText(m.proof)
+	if m.state == Removed {
+		member.Proof = proofText(m.proof)
 	}
-	return out
+	return member
 }
 
 // proofText returns a proof's text in reports.
--- a/internal/membership/stats.go
+++ b/internal/membership/stats.go
@@ -15,8 +15,8 @@
 	drops map[string]uint64 // by reason
 }
 
-// drop counts a packet, stream, message or node that was dropped. It may be called under the library's locks.
-func (c *counters) drop(reason string) {
+// countDrop counts a packet, stream, message or node that was dropped. It may be called under the library's locks.
+func (c *counters) countDrop(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.drops == nil {
@@ -25,15 +25,15 @@
 	c.drops[reason]++
 }
 
-func (c *counters) dropped() map[string]uint64 {
+func (c *counters) dropsByReason() map[string]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.drops)
 }
 
-func (c *counters) droppedTotal() uint64 {
+func (c *counters) totalDrops() uint64 {
 	total := uint64(0)
-	for _, n := range c.dropped() {
+	for _, n := range c.dropsByReason() {
 		total += n
 	}
 	return total
@@ -49,5 +49,5 @@
 // Stats returns the counts.
 func (g *Group) Stats() Stats {
 	return Stats{StartsRaised: g.counters.startsRaised.Load(), FailedJoins: g.counters.failedJoins.Load(),
-		Dropped: g.counters.dropped()}
+		Dropped: g.counters.dropsByReason()}
 }
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -17,12 +17,12 @@
 // statusTable is the state of each known process. Only the owner changes it, under the lock; others read it under the
 // lock.
 type statusTable struct {
-	mu      sync.Mutex
-	changed chan struct{} // closed at a change
-	changes uint64
-	members map[roster.ID]*memberStatus
-	self    roster.ID // zero before the first scan
-	scan    uint64    // number of the latest scan
+	mu         sync.Mutex
+	changed    chan struct{} // closed at a change
+	changes    uint64
+	members    map[roster.ID]*memberStatus
+	self       roster.ID // zero before the first scan
+	scanNumber uint64    // number of the latest scan
 }
 
 // memberStatus is the state of one process.
@@ -35,7 +35,7 @@
 	meta       *meta // nil: never received
 	addr       string
 	proof      roster.Proof
-	scan       uint64 // number of the last scan that found it
+	lastScan   uint64 // number of the last scan that found it
 }
 
 // alive reports whether the failure detector counts the process as alive.
@@ -65,7 +65,7 @@
 // once in viewInterval.
 func (o *owner) publish(now time.Duration) {
 	view := o.roster.View(now)
-	if o.cfg.Defect == DefectNoAdmission && !o.left.Load() {
+	if o.cfg.Defect == DefectNoAdmission && !o.hasLeft.Load() {
 		view.Admitted = true
 	}
 	before := o.view.Swap(&view)
@@ -77,10 +77,10 @@
 	}
 	if changed {
 		o.status.notifyChange()
-		o.viewSentAt = now - viewInterval
+		o.viewNotifiedAt = now - viewInterval
 	}
-	if now-o.viewSentAt >= viewInterval-viewIntervalSlack {
-		o.viewSentAt = now
+	if now-o.viewNotifiedAt >= viewInterval-viewIntervalSlack {
+		o.viewNotifiedAt = now
 		if o.cfg.ViewChanged != nil {
 			o.cfg.ViewChanged(view)
 		}
@@ -90,24 +90,24 @@
 // publishPeers gives joiner and prober what they go by, and wakes them if there is work.
 func (o *owner) publishPeers() {
 	entries := o.entries()
-	s := &peerSnapshot{unreachable: o.roster.Unreachable(), reachable: make(map[string]bool, len(o.reachable))}
+	snapshot := &peerSnapshot{unreachable: o.roster.Unreachable(), reachable: make(map[string]bool, len(o.reachable))}
 	for _, n := range o.reachable {
-		s.reachable[n.addr] = true
+		snapshot.reachable[n.addr] = true
 	}
 	if len(o.reachable) == 0 {
 		for _, e := range entries {
 			if e.Present() && idOf(e) != o.roster.Self() && e.Addr != "" {
-				s.present = append(s.present, e)
+				snapshot.present = append(snapshot.present, e)
 			}
 		}
 	}
-	before := o.peers.Swap(s)
-	lostAll := len(s.reachable) == 0 && len(before.reachable) > 0
-	if len(s.unreachable) > len(before.unreachable) || lostAll {
-		signal(o.joinWake)
+	previous := o.peers.Swap(snapshot)
+	lostAll := len(snapshot.reachable) == 0 && len(previous.reachable) > 0
+	if len(snapshot.unreachable) > len(previous.unreachable) || lostAll {
+		wakeUp(o.joinWake)
 	}
-	if len(s.unreachable) > 0 {
-		signal(o.probeWake)
+	if len(snapshot.unreachable) > 0 {
+		wakeUp(o.probeWake)
 	}
 }
 
@@ -116,7 +116,7 @@
 	t := o.status
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.scan++
+	t.scanNumber++
 	self := o.roster.Self()
 	changed := t.self != self
 	t.self = self
@@ -126,38 +126,38 @@
 		changed = o.updateMember(now, idOf(e), e, o.reachable[idOf(e)]) || changed
 	}
 	for id, n := range o.reachable { // nodes that do not fit into the roster
-		if !t.scanned(id) {
+		if !t.foundInScan(id) {
 			unknown := roster.Entry{Name: id.Name, Start: id.Start}
 			changed = o.updateMember(now, id, unknown, n) || changed
 			found++
 		}
 	}
-	if !t.scanned(self) {
+	if !t.foundInScan(self) {
 		changed = o.updateMember(now, self, roster.Entry{Name: self.Name, Start: self.Start}, nil) || changed
 		found++
 	}
 	if len(t.members) > found {
 		changed = true
-		maps.DeleteFunc(t.members, func(_ roster.ID, m *memberStatus) bool { return m.scan != t.scan })
+		maps.DeleteFunc(t.members, func(_ roster.ID, m *memberStatus) bool { return m.lastScan != t.scanNumber })
 	}
 	return o.updateDuplicates(now, entries) || changed
 }
 
-// scanned reports whether the current scan has found a process.
-func (t *statusTable) scanned(id roster.ID) bool {
+// foundInScan reports whether the current scan has found a process.
+func (t *statusTable) foundInScan(id roster.ID) bool {
 	m := t.members[id]
-	return m != nil && m.scan == t.scan
+	return m != nil && m.lastScan == t.scanNumber
 }
 
 // stateOf derives a process's state from its entry and its node, which is nil if it is not alive.
 func (o *owner) stateOf(e roster.Entry, n *aliveNode) MemberState {
 	switch {
 	case !e.Present():
-		return Gone
+		return Removed
 	case idOf(e) == o.roster.Self():
 		return Alive
 	case n == nil:
-		return Silent
+		return Unreachable
 	case n.suspected:
 		return Suspected
 	}
@@ -172,7 +172,7 @@
 		m = &memberStatus{lastAlive: -1, aliveSince: now}
 		t.members[id] = m
 	}
-	m.scan, m.addr, m.proof = t.scan, e.Addr, e.Proof
+	m.lastScan, m.addr, m.proof = t.scanNumber, e.Addr, e.Proof
 	state := o.stateOf(e, n)
 	changed := m.state != state
 	if changed {
@@ -183,16 +183,16 @@
 		}
 		m.state, m.since = state, now
 	}
-	latest := m.meta
+	latestMeta := m.meta
 	switch {
 	case id == t.self:
-		m.addr, latest = o.addr, &o.meta
+		m.addr, latestMeta = o.addr, &o.meta
 	case n != nil:
-		m.addr, latest = n.addr, &n.meta
+		m.addr, latestMeta = n.addr, &n.meta
 	}
-	if m.meta != latest {
-		changed = changed || m.meta == nil || *m.meta != *latest
-		m.meta = latest
+	if m.meta != latestMeta {
+		changed = changed || m.meta == nil || *m.meta != *latestMeta
+		m.meta = latestMeta
 	}
 	return changed
 }
@@ -201,7 +201,7 @@
 // changed. The entries are sorted by name.
 func (o *owner) updateDuplicates(now time.Duration, entries []roster.Entry) bool {
 	changed := false
-	o.namesCoexist = false
+	o.hasSharedNames = false
 	for len(entries) > 0 {
 		n := 1
 		for n < len(entries) && entries[n].Name == entries[0].Name {
@@ -226,7 +226,7 @@
 			}
 		}
 	}
-	o.namesCoexist = o.namesCoexist || alive > 1
+	o.hasSharedNames = o.hasSharedNames || alive > 1
 	changed := false
 	for _, e := range sameName {
 		m := o.status.members[idOf(e)]
--- a/internal/membership/units_test.go
+++ b/internal/membership/units_test.go
@@ -33,7 +33,7 @@
 	require.NoError(t, err)
 	require.Equal(t, Config{Fleet: "f", Bind: ":7946", Seeds: []string{"a:1"}, Interval: 2 * time.Second,
 		Networks: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}, c)
-	for key, spoil := range map[string]func(*Section){
+	for key, makeInvalid := range map[string]func(*Section){
 		"fleet":        func(s *Section) { s.Fleet = "two words" },
 		"bind":         func(s *Section) { s.Bind = "7946" },
 		"advertise":    func(s *Section) { s.Advertise = "h:port" },
@@ -46,11 +46,11 @@
 		s := Section{Fleet: "f", Bind: ":1", Networks: []string{"::/0"}, Seeds: []string{"a:1"}}
 		_, err := s.Config()
 		require.NoError(t, err)
-		spoil(&s)
+		makeInvalid(&s)
 		_, err = s.Config()
 		require.ErrorContains(t, err, "members."+key+": ")
 	}
-	long := strings.Repeat("v", maxVersion+1)
+	long := strings.Repeat("v", maxVersionBytes+1)
 	for _, c := range []Config{{Name: "a@b c"}, {Name: "a", Version: long}, {Name: "a", Start: -1}} {
 		c.Fleet, c.Bind = "f", "127.0.0.1:0"
 		_, err := Open(c)
@@ -65,7 +65,7 @@
 		for _, d := range []struct {
 			target   *string
 			maxBytes int
-		}{{&m.Name, maxName}, {&m.Zone, maxZone}, {&m.Role, maxRole}, {&m.Version, maxVersion}} {
+		}{{&m.Name, maxNameBytes}, {&m.Zone, maxZoneBytes}, {&m.Role, maxRoleBytes}, {&m.Version, maxVersionBytes}} {
 			*d.target = rapid.StringOfN(letter, 1, -1, d.maxBytes).Draw(t, "text")
 		}
 		text, err := m.encode() // texts within the bounds fit
@@ -73,7 +73,7 @@
 		back, err := decodeMeta(text)
 		require.NoError(t, err)
 		require.Equal(t, m, back)
-		id, err := parseNode(nodeName(roster.ID{Name: m.Name, Start: m.Start}))
+		id, err := parseNodeName(nodeName(roster.ID{Name: m.Name, Start: m.Start}))
 		require.NoError(t, err)
 		require.Equal(t, roster.ID{Name: m.Name, Start: m.Start}, id)
 	})
@@ -102,10 +102,10 @@
 
 func FuzzDecodeMessage(f *testing.F) {
 	request := encodeEntries(kindAckRequest, roster.Entry{Name: "a", Start: 7, Addr: "127.0.0.1:1"})
-	request.By, request.Digest = processID{"a", 7}, 1<<63
+	request.Sender, request.Digest = processID{"a", 7}, 1<<63
 	f.Add(request.bytes())
-	f.Add(message{Kind: kindAck, By: processID{"b", 1}, To: processID{"a", 7}, Digest: 9}.bytes())
-	f.Add(encodeEntries(kindEntries, goneEntry(roster.ID{Name: "a", Start: 7}, roster.ProofLeft)).bytes())
+	f.Add(message{Kind: kindAck, Sender: processID{"b", 1}, Acknowledged: processID{"a", 7}, Digest: 9}.bytes())
+	f.Add(encodeEntries(kindEntries, removedEntry(roster.ID{Name: "a", Start: 7}, roster.ProofLeft)).bytes())
 	f.Add([]byte(`{"v":1,"k":"later","x":{}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := decodeMessage(b, nil)
@@ -116,7 +116,7 @@
 		require.NoError(t, err)
 		require.Equal(t, m.bytes(), again.bytes())
 		r := roster.New(0, roster.Options{Self: roster.ID{Name: "self", Start: 1}})
-		r.Merge(0, m.roster()...)
+		r.Merge(0, m.rosterEntries()...)
 	})
 }
 
@@ -125,7 +125,7 @@
 		`{"v":1,"e":[{"n":"a","s":0}]}`, `{"v":1,"e":[{"n":"a","s":1,"g":1}]}`, `{"v":1,"e":[{"n":"a","s":1,"a":"h:1"}]}`,
 		`{"v":1,"e":[{"n":"a","s":1,"a":"0.0.0.0:1"}]}`,
 		`{"v":1,"e":[` + strings.Repeat(`{"n":"a","s":1},`, maxEntries) + `{"n":"a","s":1}]}`,
-		strings.Repeat(" ", maxMessage+1)} {
+		strings.Repeat(" ", maxMessageBytes+1)} {
 		_, err := decodeMessage([]byte(text), nil)
 		require.Error(t, err, "%.60s", text)
 	}
@@ -134,17 +134,17 @@
 func TestMessageQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := messageQueue{maxWeight: rapid.IntRange(1, 20).Draw(t, "max weight")}
-		var model []message
+		var queued []message
 		dropped := 0
 		for n := range rapid.IntRange(1, 60).Draw(t, "messages") {
 			m := message{Digest: uint64(n), Entries: make([]wireEntry, rapid.IntRange(0, 4).Draw(t, "entries"))}
 			dropped += q.push(m)
-			if model = append(model, m); rapid.IntRange(0, 9).Draw(t, "take") > 0 {
+			if queued = append(queued, m); rapid.IntRange(0, 9).Draw(t, "take") > 0 {
 				continue
 			}
 			got := q.take()
-			require.Equal(t, model[dropped:], append([]message{}, got...), "the oldest are dropped, the newest is kept")
-			model, dropped = nil, 0
+			require.Equal(t, queued[dropped:], append([]message{}, got...), "the oldest are dropped, the newest is kept")
+			queued, dropped = nil, 0
 		}
 	})
 }
@@ -154,7 +154,7 @@
 	f := newTestFleet(t)
 	g := f.openAll(2, func(c *Config) { c.TrustRefused = false })
 	release, started := make(chan struct{}), make(chan struct{})
-	go func() { _ = g[1].do(t.Context(), holdOwner{started, release}) }()
+	go func() { _ = g[1].runOnOwner(t.Context(), blockOwner{started, release}) }()
 	<-started
 	const names = 2000
 	var all []roster.Entry
@@ -166,10 +166,10 @@
 		g[1].current.Load().NotifyMsg(encodeEntries(kindEntries, all[0]).bytes())
 	}
 	close(release)
-	require.GreaterOrEqual(t, g[1].counters.dropped()["ring"], uint64(names))
+	require.GreaterOrEqual(t, g[1].counters.dropsByReason()["ring"], uint64(names))
 	g[0].current.Load().MergeRemoteState(encodeEntries(kindEntries, all...).bytes(), false)
 	f.eventually("push/pull repeats the dropped entries", func() bool {
-		return knows(g[0], names+2)() && knows(g[1], names+2)()
+		return knownCountIs(g[0], names+2)() && knownCountIs(g[1], names+2)()
 	})
 }
 
@@ -213,7 +213,7 @@
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{10, 50} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := &testNetwork{sides: map[string]int{}, frozen: map[string]bool{}}
+			w := &testNetwork{partitions: map[string]int{}, frozen: map[string]bool{}}
 			var sent atomic.Int64
 			var all []*Group
 			for i := range n {
@@ -254,13 +254,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// holdOwner is a command that keeps the owner busy until release is closed.
-type holdOwner struct {
+// blockOwner is a command that keeps the owner busy until release is closed.
+type blockOwner struct {
 	started chan<- struct{}
 	release <-chan struct{}
 }
 
-func (c holdOwner) execute(*owner) error {
+func (c blockOwner) execute(*owner) error {
 	close(c.started)
 	<-c.release
 	return nil
--- a/internal/membership/view/diff_test.go
+++ b/internal/membership/view/diff_test.go
@@ -14,7 +14,7 @@
 	"marblelane/internal/membership/roster"
 )
 
-var states = []membership.MemberState{membership.Alive, membership.Suspected, membership.Silent, membership.Gone,
+var states = []membership.MemberState{membership.Alive, membership.Suspected, membership.Unreachable, membership.Removed,
 	Unknown}
 
 // drawReport draws a report that names some of a few members.
@@ -155,7 +155,7 @@
 		return &membership.Report{Self: roster.ID{Name: "me", Start: 1}, Members: []membership.Member{
 			{Name: "me", Start: 1, State: membership.Alive, SinceMS: age}, {Name: "x", Start: 7, State: state, SinceMS: since}}}
 	}
-	alive, silent := report(membership.Alive, 90, 100), report(membership.Silent, 40, 100)
+	alive, silent := report(membership.Alive, 90, 100), report(membership.Unreachable, 40, 100)
 	young := &membership.Report{Self: alive.Self, Members: []membership.Member{{Name: "me", Start: 1,
 		State: membership.Alive, SinceMS: 30}}}
 	observe := func(reports ...*membership.Report) (all []Observation) {
@@ -168,6 +168,6 @@
 	assert.EqualValues(t, 30, Diff(observe(alive, young))[0].ForMS, "since the one that does not know it runs")
 	assert.EqualValues(t, 40, Diff(observe(young, alive, silent))[0].ForMS)
 	assert.Equal(t, Digest(alive), Digest(silent), "reachability does not matter")
-	assert.NotEqual(t, Digest(alive), Digest(report(membership.Gone, 0, 0)))
+	assert.NotEqual(t, Digest(alive), Digest(report(membership.Removed, 0, 0)))
 	assert.NotEqual(t, Digest(alive), Digest(young))
 }
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -17,7 +17,7 @@
 func TestWireForms(t *testing.T) {
 	joining := roster.Entry{Name: "side-1", Start: 1700000000123, Addr: "10.1.0.7:7946"}
 	request := encodeEntries(kindAckRequest, joining)
-	request.By, request.Digest = processID{joining.Name, joining.Start}, 1<<63
+	request.Sender, request.Digest = processID{joining.Name, joining.Start}, 1<<63
 	metadata, err := meta{Name: "side-1", Start: 7, Zone: "zone-a", Role: "sidecar", Version: "1.2.3", Observer: true}.encode()
 	require.NoError(t, err)
 	for name, got := range map[string][]byte{
@@ -29,7 +29,7 @@
 			roster.Entry{Name: "side-5", Start: 9, Gone: 8, Proof: roster.ProofLeft},
 			roster.Entry{Name: "copy-1", Start: 10, Observer: true}).bytes(),
 		"ask.json":  request.bytes(),
-		"ack.json":  message{Kind: kindAck, By: processID{"side-2", 5}, To: processID{"side-1", 1700000000123}, Digest: 9}.bytes(),
+		"ack.json":  message{Kind: kindAck, Sender: processID{"side-2", 5}, Acknowledged: processID{"side-1", 1700000000123}, Digest: 9}.bytes(),
 		"meta.json": metadata,
 		"report.json": marshal(t, Report{Self: roster.ID{Name: "side-1", Start: 7}, Fleet: "shannonside", UnixMS: 1700000000123,
 			View:    roster.View{Known: 3, Reachable: 2, Admitted: true, Forced: true},
@@ -38,12 +38,12 @@
 				{Name: "side-1", Start: 7, Addr: "10.1.0.7:7946", Zone: "zone-a", Role: "sidecar", Version: "1.2.3", State: Alive,
 					SinceMS: 10, Duplicate: true},
 				{Name: "side-2", Start: 1, State: Suspected, SinceMS: 11},
-				{Name: "side-3", Start: 1, State: Silent, SinceMS: 12, LastAliveMS: 13},
-				{Name: "side-4", Start: 1, State: Gone, Proof: proofText(roster.ProofRefused), LastAliveMS: -1},
-				{Name: "side-5", Start: 1, State: Gone, Proof: proofText(roster.ProofAddressReused), LastAliveMS: -1},
-				{Name: "side-6", Start: 1, State: Gone, Proof: proofText(roster.ProofOperator), LastAliveMS: -1},
-				{Name: "side-7", Start: 1, State: Gone, Proof: proofText(roster.ProofLeft), LastAliveMS: -1},
-				{Name: "side-8", Start: 1, State: Gone, Proof: proofText(9), LastAliveMS: -1},
+				{Name: "side-3", Start: 1, State: Unreachable, SinceMS: 12, LastAliveMS: 13},
+				{Name: "side-4", Start: 1, State: Removed, Proof: proofText(roster.ProofRefused), LastAliveMS: -1},
+				{Name: "side-5", Start: 1, State: Removed, Proof: proofText(roster.ProofAddressReused), LastAliveMS: -1},
+				{Name: "side-6", Start: 1, State: Removed, Proof: proofText(roster.ProofOperator), LastAliveMS: -1},
+				{Name: "side-7", Start: 1, State: Removed, Proof: proofText(roster.ProofLeft), LastAliveMS: -1},
+				{Name: "side-8", Start: 1, State: Removed, Proof: proofText(9), LastAliveMS: -1},
 			}}),
 		"digests.json": marshal(t, digests()),
 	} {
--- a/internal/sidecar/fleet/membership.go
+++ b/internal/sidecar/fleet/membership.go
@@ -278,11 +278,11 @@
 	if group := m.group.Load(); group != nil {
 		report = group.Report()
 	}
-	states := []membership.MemberState{membership.Alive, membership.Suspected, membership.Silent, membership.Gone}
+	states := []membership.MemberState{membership.Alive, membership.Suspected, membership.Unreachable, membership.Removed}
 	count, oldest := map[membership.MemberState]int{}, int64(0)
 	for _, one := range report.Members {
 		count[one.State]++
-		if one.State == membership.Silent {
+		if one.State == membership.Unreachable {
 			oldest = max(oldest, one.SinceMS)
 		}
 	}
