--- a/internal/membership/commands.go
+++ b/internal/membership/commands.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxLeaveTime bounds the library's broadcast that this process leaves.
+	// maxLeaveTime bounds the time for the library's leave broadcast.
 	maxLeaveTime = 2 * time.Second
-	// minLeaveTime is what that broadcast gets at least, if the caller's deadline allows it.
+	// minLeaveTime is the shortest time for that broadcast, unless the caller's deadline is earlier.
 	minLeaveTime = 100 * time.Millisecond
 )
 
@@ -21,12 +21,13 @@
 	execute(o *owner) error
 }
 
+// queuedCommand is a command with the channel for its result.
 type queuedCommand struct {
 	command
 	result chan<- error
 }
 
-// runOnOwner has the owner execute a command. It fails with net.ErrClosed if the owner has ended.
+// runOnOwner executes a command on the owner's goroutine. It fails with net.ErrClosed if that has ended.
 func (s *shared) runOnOwner(ctx context.Context, c command) error {
 	result := make(chan error, 1)
 	select {
@@ -39,7 +40,7 @@
 	return <-result // the owner executes each command that it has received
 }
 
-// removeMember is an operator's word that a process is gone.
+// removeMember removes a process that an operator has confirmed to have ended.
 type removeMember struct{ id roster.ID }
 
 func (c removeMember) execute(o *owner) error {
@@ -49,14 +50,14 @@
 	if _, known := o.roster.Find(c.id); !known {
 		return fmt.Errorf("%s@%d: %w", c.id.Name, c.id.Start, ErrUnknownMember)
 	}
-	o.log.Warn("members: an operator confirms that a process is gone", "name", c.id.Name, "start", c.id.Start)
+	o.log.Warn("members: operator confirmed that a process has ended", "name", c.id.Name, "start", c.id.Start)
 	o.merge(o.now(), removedEntry(c.id, roster.ProofOperator))
 	o.scanNow()
 	return nil
 }
 
-// recordConnectionRefused reports that the address of a process refuses connections. It proves the process gone if it is
-// unreachable still.
+// recordConnectionRefused records that the address of a process refuses connections. It removes the process if it is
+// still unreachable.
 type recordConnectionRefused struct{ id roster.ID }
 
 func (c recordConnectionRefused) execute(o *owner) error {
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// scanMembers has the owner scan all members now.
+// scanMembers scans all members now.
 type scanMembers struct{}
 
 func (scanMembers) execute(o *owner) error {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// refreshStatus has the owner scan all members if anything has changed since the last scan.
+// refreshStatus scans all members if anything has changed since the last scan.
 type refreshStatus struct{}
 
 func (refreshStatus) execute(o *owner) error {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// leaveFleet has this process leave before the context's deadline.
+// leaveFleet makes this process leave the fleet before the deadline of ctx.
 type leaveFleet struct{ ctx context.Context }
 
 func (c leaveFleet) execute(o *owner) error {
@@ -106,19 +107,19 @@
 	o.broadcasts.Reset()
 	o.merge(o.now(), entry)
 	o.lastScan = neverScanned
-	o.publish(o.now()) // it gives up its quota before anybody counts it out
+	o.publish(o.now()) // gives up the quota before the other members remove this process
 	text := encodeEntries(kindEntries, entry).bytes()
 	o.sendToReachable(i, text)
-	if !i.transport.closed.Load() { // else its library has ended, and cannot broadcast
-		// Two rounds of gossip are enough: all reachable members got it directly.
+	if !i.transport.closed.Load() { // otherwise the library has stopped and cannot broadcast
+		// Two rounds of gossip suffice, as the message was also sent to each reachable member.
 		timeout = min(timeout, max(timeout/2, minLeaveTime))
 		if err := i.library.Leave(timeout); err != nil {
-			o.log.Debug("members: leave was not broadcast to all", "err", err) // those that know pass it on
+			o.log.Debug("members: leave broadcast incomplete", "err", err) // members that received it forward it
 		}
-		o.sendToReachable(i, text) // again, as packets get lost
+		o.sendToReachable(i, text) // repeated, as packets may be lost
 		i.shutdown()
 	}
 	_ = o.transport.Shutdown()
-	o.log.Info("members: left", "name", i.id.Name, "start", i.id.Start)
+	o.log.Info("members: left the fleet", "name", i.id.Name, "start", i.id.Start)
 	return nil
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -18,35 +18,35 @@
 	"marblelane/internal/membership/transport"
 )
 
-// Defects that the lab plants to see that its checks find them.
+// Defects that the lab plants to verify that its checks find them.
 const (
-	DefectTrustDetector = "trust-detector" // a member that is dead by the failure detector counts as gone
-	DefectNoAdmission   = "no-admission"   // a joining process is admitted at once
+	DefectTrustDetector = "trust-detector" // removes a member as soon as the failure detector declares it dead
+	DefectNoAdmission   = "no-admission"   // admits a joining process at once
 )
 
 // Config configures a Group.
 type Config struct {
 	Name, Fleet, Zone, Role, Version string
 
-	Start        int64          // Unix ms; 0: the wall clock's
-	Bind         string         // HOST:PORT, UDP and TCP; port 0: the system's choice
-	Advertise    string         // HOST:PORT that others call; empty: the bound address
-	Networks     []netip.Prefix // members' addresses and callers must lie in one of them; empty: all
-	Seeds        []string
-	Peers        int           // number of sidecars in the settings
-	Observer     bool          // it is a member without a part of the fleet's budgets
-	Interval     time.Duration // between two probes of the failure detector; 0: 1 s
-	AdmitWithin  time.Duration // after which a joining process is admitted without all acknowledgements; 0: 5 s
-	TrustRefused bool          // a refused connection proves a process gone
-	Defect       string        // DefectTrustDetector, DefectNoAdmission or none
-
-	EstimatedSize func() float64    // the fleet's size that the balancer goes by, for reports; may be nil
-	ViewChanged   func(roster.View) // called by one goroutine at each change and once a second at least; must not block
+	Start        int64          // start of the process in Unix ms; 0 means now
+	Bind         string         // HOST:PORT to bind for UDP and TCP; port 0 lets the system choose
+	Advertise    string         // HOST:PORT at which others reach this process; empty means the bound address
+	Networks     []netip.Prefix // allowed networks of members' and callers' addresses; empty allows all
+	Seeds        []string       // HOST:PORT of members to join
+	Peers        int            // number of sidecars in the settings; at least 1 is assumed
+	Observer     bool           // the process is a member but has no share of the fleet's budgets
+	Interval     time.Duration  // time between two probes of the failure detector; 0 means 1 s
+	AdmitWithin  time.Duration  // time after which a joining process is admitted without all acks; 0 means 5 s
+	TrustRefused bool           // a refused connection proves that a process has ended
+	Defect       string         // DefectTrustDetector, DefectNoAdmission or empty
+
+	EstimatedSize func() float64    // returns the balancer's estimate of the fleet's size, for reports; may be nil
+	ViewChanged   func(roster.View) // called by one goroutine at each change and at least once a second; must not block
 	Log           *slog.Logger
-	Transport     memberlist.NodeAwareTransport // nil: sockets; its Shutdown may be called more than once
+	Transport     memberlist.NodeAwareTransport // nil means sockets; Shutdown may be called more than once
 }
 
-// Section is the section `members` of a configuration file, in JSON or TOML. Durations are written as "1s".
+// Section is the `members` section of a configuration file, in JSON or TOML. Durations have a unit, such as "1s".
 type Section struct {
 	Fleet        string   `json:"fleet" toml:"fleet"`
 	Bind         string   `json:"bind" toml:"bind"`
@@ -55,13 +55,14 @@
 	Seeds        []string `json:"seeds,omitempty" toml:"seeds,omitempty"`
 	Interval     string   `json:"interval,omitempty" toml:"interval,omitempty"`
 	AdmitWithin  string   `json:"admit_within,omitempty" toml:"admit_within,omitempty"`
-	TrustRefused *bool    `json:"believe_refused,omitempty" toml:"believe_refused,omitempty"` // nil: true
+	TrustRefused *bool    `json:"believe_refused,omitempty" toml:"believe_refused,omitempty"` // nil means true
 	Defect       string   `json:"defect,omitempty" toml:"defect,omitempty"`
 }
 
-// Bounds of the configuration. The texts of a member fit into the library's metadata together. Texts are in bytes.
+// Bounds of the configuration. A member's name, zone, role and version of maximal length fit into the library's
+// metadata together.
 const (
-	maxNameBytes    = 64 // as in package roster
+	maxNameBytes    = 64 // the limit of package roster
 	maxZoneBytes    = 64
 	maxRoleBytes    = 32
 	maxVersionBytes = 64
@@ -75,7 +76,7 @@
 	maxStart       = 1 << 53 // the largest integer that JSON numbers carry exactly
 )
 
-// Config converts the section. An error names the key.
+// Config converts the section to a Config. Errors name the key.
 func (s *Section) Config() (Config, error) {
 	c := Config{Fleet: s.Fleet, Bind: s.Bind, Advertise: s.Advertise, Seeds: s.Seeds, Defect: s.Defect,
 		TrustRefused: s.TrustRefused == nil || *s.TrustRefused}
@@ -83,7 +84,8 @@
 	for i, text := range s.Networks {
 		p, err := netip.ParsePrefix(text)
 		if err != nil {
-			errs = append(errs, withKey(fmt.Sprintf("networks[%d]", i), fmt.Errorf("%q is no network as 10.0.0.0/8", text)))
+			errs = append(errs, withKey(fmt.Sprintf("networks[%d]", i),
+				fmt.Errorf("%q is not a network prefix such as 10.0.0.0/8", text)))
 		}
 		c.Networks = append(c.Networks, p.Masked())
 	}
@@ -96,10 +98,10 @@
 		}
 		v, err := time.ParseDuration(d.text)
 		if err == nil && v <= 0 {
-			err = errors.New("is not above 0")
+			err = errors.New("not positive")
 		}
 		if err != nil {
-			errs = append(errs, withKey(d.key, fmt.Errorf("%q is no time above 0 with its unit, as 1s", d.text)))
+			errs = append(errs, withKey(d.key, fmt.Errorf("%q is not a positive duration with a unit, such as 1s", d.text)))
 		}
 		*d.target = v
 	}
@@ -112,7 +114,7 @@
 	return c, nil
 }
 
-// withKey adds the key to an error.
+// withKey prefixes an error with the key of the setting. It returns nil for a nil error.
 func withKey(key string, err error) error {
 	if err == nil {
 		return nil
@@ -132,7 +134,7 @@
 		errs = append(errs, withKey("advertise", checkHostPort(c.Advertise, 0)))
 	}
 	if len(c.Seeds) > maxSeeds {
-		errs = append(errs, withKey("seeds", fmt.Errorf("%d are more than %d", len(c.Seeds), maxSeeds)))
+		errs = append(errs, withKey("seeds", fmt.Errorf("%d seeds exceed the limit of %d", len(c.Seeds), maxSeeds)))
 	}
 	for i, s := range c.Seeds {
 		errs = append(errs, withKey(fmt.Sprintf("seeds[%d]", i), checkHostPort(s, 1)))
@@ -141,12 +143,12 @@
 	case "", DefectTrustDetector, DefectNoAdmission:
 	default:
 		errs = append(errs, withKey("defect",
-			fmt.Errorf("%q is none of %q and %q", c.Defect, DefectTrustDetector, DefectNoAdmission)))
+			fmt.Errorf("unknown defect %q, want %q or %q", c.Defect, DefectTrustDetector, DefectNoAdmission)))
 	}
 	return errors.Join(errs...)
 }
 
-// Check finds what Open would reject, but for addresses that are in use. An error names the key.
+// Check returns the errors that Open would return, except for addresses in use. Errors name the key.
 func (c Config) Check() error { return c.normalize() }
 
 // normalize sets the defaults and checks all fields.
@@ -168,13 +170,13 @@
 		withKey("zone", checkText(c.Zone, 0, maxZoneBytes)), withKey("role", checkText(c.Role, 0, maxRoleBytes)),
 		withKey("version", checkText(c.Version, 0, maxVersionBytes))}
 	if c.Start < 0 || c.Start >= maxStart {
-		errs = append(errs, withKey("start", fmt.Errorf("%d is no time in Unix milliseconds", c.Start)))
+		errs = append(errs, withKey("start", fmt.Errorf("%d is not a time in Unix milliseconds", c.Start)))
 	}
 	return errors.Join(errs...)
 }
 
-// checkText checks a text's length and that it may be part of a node's name, a metric label and a log line, and needs no
-// escape in JSON.
+// checkText checks the length of a text, and that it is safe in a node name, a metric label and a log line and needs no
+// escaping in JSON.
 func checkText(s string, minBytes, maxBytes int) error {
 	if len(s) < minBytes || len(s) > maxBytes {
 		return fmt.Errorf("%d bytes, not from %d to %d", len(s), minBytes, maxBytes)
@@ -191,32 +193,32 @@
 func checkHostPort(s string, minPort uint64) error {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil {
-		return fmt.Errorf("%q is no HOST:PORT", s)
+		return fmt.Errorf("%q is not HOST:PORT", s)
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n < minPort {
-		return fmt.Errorf("%q has no port from %d to 65535", s, minPort)
+		return fmt.Errorf("%q: port is not in the range %d to 65535", s, minPort)
 	}
 	if minPort > 0 && host == "" {
-		return fmt.Errorf("%q names no host", s)
+		return fmt.Errorf("%q: host is missing", s)
 	}
 	return nil
 }
 
-// checkRange checks a duration, of which 0 stands for the default.
+// checkRange checks that a duration is within bounds. 0 stands for the default and passes.
 func checkRange(d, minimum, maximum time.Duration) error {
 	if d != 0 && (d < minimum || d > maximum) {
-		return fmt.Errorf("%v is not from %v to %v", d, minimum, maximum)
+		return fmt.Errorf("%v is not in the range %v to %v", d, minimum, maximum)
 	}
 	return nil
 }
 
-// checkMemberAddr checks that a member may have an address and that others can call it.
+// checkMemberAddr checks that an address can be dialed and lies in an allowed network.
 func checkMemberAddr(networks []netip.Prefix, ip netip.Addr) error {
 	if !ip.IsValid() || ip.IsUnspecified() || ip.IsMulticast() {
-		return fmt.Errorf("%v is no address to call", ip)
+		return fmt.Errorf("address %v cannot be dialed", ip)
 	}
 	if !transport.InNetworks(networks, ip) {
-		return fmt.Errorf("%v lies in none of the networks", ip)
+		return fmt.Errorf("address %v is outside the allowed networks", ip)
 	}
 	return nil
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -10,9 +10,9 @@
 	"marblelane/internal/membership/roster"
 )
 
-// The forms in which members exchange their state and describe themselves must not change: processes of several
-// versions share a fleet.
+// The wire formats of messages and metadata must not change, as processes of several versions share a fleet.
 
+// goldenEntries returns the entries of the golden file message-entries.json.
 func goldenEntries() []roster.Entry {
 	return []roster.Entry{
 		{Name: "process-0", Start: 1_700_000_000_000, Addr: "127.0.0.1:7946"},
--- a/internal/membership/group.go
+++ b/internal/membership/group.go
@@ -1,10 +1,13 @@
-// Package membership tells the processes of a fleet who its members are. Presence and failure detection are those of
-// hashicorp/memberlist (SWIM). Package roster derives from them how many members share the fleet's budgets.
-// docs/membership.md states what is promised.
+// Package membership maintains the list of a fleet's members in each of its processes. Gossip and failure detection are
+// those of hashicorp/memberlist (SWIM), called the library below. Package roster derives from them how many members
+// share the fleet's budgets. docs/membership.md states the guarantees.
 //
-// A Group has three goroutines. The owner holds the roster and publishes its view, the joiner exchanges knowledge with
-// seeds and unreachable members, and the prober looks for proofs that an unreachable member is gone. The library's
-// callbacks (see instance) queue what they receive for the owner and never wait.
+// The failure detector alone removes no member: an unreachable process may still run and use its quota. A member is
+// removed, that is no longer counted, once there is a proof that its process has ended (roster.Proof).
+//
+// A Group has three goroutines. The owner holds the roster and publishes its view. The joiner exchanges the full state
+// (memberlist's push/pull) with seeds and unreachable members. The prober looks for proofs that unreachable members
+// have ended. The library's callbacks (see instance) queue what they receive for the owner and never block.
 package membership
 
 import (
@@ -25,10 +28,10 @@
 	"marblelane/internal/membership/transport"
 )
 
-// ErrUnknownMember means that an operator named a process that is not known.
+// ErrUnknownMember means that the process named in a request is not in the roster.
 var ErrUnknownMember = errors.New("no such process is known")
 
-// Group is this process's part in its fleet.
+// Group is this process's membership in its fleet.
 type Group struct {
 	*shared
 	wg        sync.WaitGroup
@@ -36,48 +39,48 @@
 	closeErr  error
 }
 
-// shared is what a Group's goroutines have in common. It is set up before they start; what changes later is safe for
-// concurrent use.
+// shared is the state that a Group's goroutines share. It is initialized before they start. Fields that change later
+// are safe for concurrent use.
 type shared struct {
 	cfg       Config
 	log       *slog.Logger
 	startedAt time.Time
 	transport memberlist.NodeAwareTransport
-	addr      string // where others reach this process
+	addr      string // IP:PORT at which other members reach this process
 	counters  counters
 	status    *statusTable
 
 	view    atomic.Pointer[roster.View]
 	peers   atomic.Pointer[peerSnapshot]
 	current atomic.Pointer[instance]
-	hasLeft atomic.Bool // this process has said that it leaves
+	hasLeft atomic.Bool // Leave was called
 
-	ctx       context.Context // ended by Close
+	ctx       context.Context // cancelled by Close
 	cancel    func()
-	ownerDone chan struct{} // closed when the owner has ended
+	ownerDone chan struct{} // closed when the owner's goroutine has ended
 
-	// To the owner.
+	// Inputs of the owner.
 	commands  chan queuedCommand
-	ownerWake chan struct{} // an instance has something for it
-	// To the joiner.
+	ownerWake chan struct{} // an instance has changes or messages for the owner
+	// Inputs of the joiner.
 	exchanges chan exchangeRequest
-	joinWake  chan struct{} // members became unreachable, or this process starts anew
-	// To the prober.
-	probeWake chan struct{} // members are unreachable
+	joinWake  chan struct{} // members became unreachable, or this process rejoins
+	// Input of the prober.
+	probeWake chan struct{} // there are unreachable members
 }
 
-// peerSnapshot is what the owner publishes for the joiner and the prober.
+// peerSnapshot is the state of the other processes that the owner publishes for the joiner and the prober.
 type peerSnapshot struct {
 	unreachable []roster.Entry
-	present     []roster.Entry  // the other present processes; only set if none is reachable
+	present     []roster.Entry  // all other present processes; set only if none is reachable
 	reachable   map[string]bool // by address
 }
 
-// exchangeRequest asks the joiner for a push/pull with another process.
+// exchangeRequest requests a push/pull with the process at addr from the joiner.
 type exchangeRequest struct{ addr string }
 
-// Open binds the addresses and starts the group. Seeds are joined in the background, again and again; that none of them
-// answers is no error.
+// Open binds the addresses and starts the group. It joins the seeds in the background and retries until they are
+// reachable. Unreachable seeds are no error.
 func Open(cfg Config) (*Group, error) {
 	if err := cfg.normalize(); err != nil {
 		return nil, err
@@ -112,7 +115,7 @@
 	return s
 }
 
-// advertisedAddr returns where others reach this process.
+// advertisedAddr returns the IP:PORT at which other members reach this process.
 func advertisedAddr(cfg *Config, transport memberlist.NodeAwareTransport) (string, error) {
 	ip, port, err := transport.FinalAdvertiseAddr("", 0)
 	if at, parseErr := netip.ParseAddrPort(cfg.Advertise); parseErr == nil && cfg.Transport != nil {
@@ -124,17 +127,18 @@
 	return net.JoinHostPort(ip.String(), strconv.Itoa(port)), nil
 }
 
-// now is the group's clock: the time since Open.
+// now returns the time since Open, which is the group's clock.
 func (s *shared) now() time.Duration { return time.Since(s.startedAt) }
 
-// reachableCount returns the number of reachable members, this process included. The library retransmits broadcasts accordingly.
+// reachableCount returns the number of reachable members, this process included. The library derives from it how often
+// it retransmits a broadcast.
 func (s *shared) reachableCount() int { return len(s.peers.Load().reachable) + 1 }
 
-// View returns what this process goes by now.
+// View returns this process's current view of the fleet.
 func (g *Group) View() roster.View { return *g.view.Load() }
 
-// RemoveMember records an operator's word that a process is gone. It fails with ErrUnknownMember if the process is not
-// known. A process that runs takes a new incarnation and joins again.
+// RemoveMember removes a process that an operator has confirmed to have ended. It fails with ErrUnknownMember if the
+// process is not known. A process that still runs takes a new incarnation and rejoins.
 func (g *Group) RemoveMember(id roster.ID) error {
 	if err := checkID(id); err != nil {
 		return fmt.Errorf("%s@%d: %w", id.Name, id.Start, err)
@@ -142,23 +146,23 @@
 	return g.runOnOwner(context.Background(), removeMember{id})
 }
 
-// Leave tells the other members that this process leaves, and sends nothing after that. It returns when this was said or
-// ctx has ended. Calls after the first do nothing.
+// Leave notifies the other members that this process leaves, and sends nothing after that. It returns when the
+// notification was sent or ctx has ended. Calls after the first do nothing.
 func (g *Group) Leave(ctx context.Context) error { return g.runOnOwner(ctx, leaveFleet{ctx}) }
 
-// Close ends the group without a word to the others. The library's own goroutines end with what they wait for, within a
-// few intervals.
+// Close ends the group without notifying the other members. The library's own goroutines end when their pending calls
+// return, within a few intervals.
 func (g *Group) Close() error {
 	g.closeOnce.Do(func() {
 		g.cancel()
-		g.closeErr = g.transport.Shutdown() // ends the calls that joiner and prober wait for
+		g.closeErr = g.transport.Shutdown() // unblocks the joiner's and the prober's pending calls
 		g.wg.Wait()
 		g.current.Load().shutdown()
 	})
 	return g.closeErr
 }
 
-// wakeUp wakes the receiver, unless it has a wakeUp already.
+// wakeUp signals the receiver of c, unless a signal is pending.
 func wakeUp(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -29,13 +29,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testNetwork connects the processes of a test. Nothing passes between different sides.
+// testNetwork connects the processes of a test. Packets and streams between different partitions are dropped.
 type testNetwork struct {
 	mu         sync.Mutex
 	partitions map[string]int  // by address
-	frozen     map[string]bool // by address: connections are accepted there, and nothing is answered
+	frozen     map[string]bool // by address; a frozen process accepts connections and sends nothing
 }
 
+// update runs f with the network locked.
 func (w *testNetwork) update(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -51,6 +52,7 @@
 	wrapConn func(net.Conn) net.Conn
 }
 
+// transport returns the transport of a process that binds the given address.
 func (w *testNetwork) transport(t testing.TB, bind string) *testTransport {
 	tr, err := transport.Open(transport.Config{Bind: bind})
 	require.NoError(t, err)
@@ -62,7 +64,8 @@
 
 func (x *testTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	x.network.mu.Lock()
-	lost := x.network.partitions[x.addr] != x.network.partitions[a.Addr] || x.network.frozen[x.addr] || x.network.frozen[a.Addr]
+	lost := x.network.partitions[x.addr] != x.network.partitions[a.Addr] || x.network.frozen[x.addr] ||
+		x.network.frozen[a.Addr]
 	x.network.mu.Unlock()
 	x.onSend(len(b))
 	if lost {
@@ -73,7 +76,8 @@
 
 func (x *testTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	x.network.mu.Lock()
-	partitioned, frozenTarget := x.network.partitions[x.addr] != x.network.partitions[a.Addr] || x.network.frozen[x.addr], x.network.frozen[a.Addr]
+	partitioned, frozenTarget := x.network.partitions[x.addr] != x.network.partitions[a.Addr] || x.network.frozen[x.addr],
+		x.network.frozen[a.Addr]
 	x.network.mu.Unlock()
 	switch {
 	case partitioned:
@@ -93,7 +97,7 @@
 type testFleet struct {
 	*testing.T
 	*testNetwork
-	ip     string // its own, so that no other test reuses an address of a process that is gone
+	ip     string // loopback address of this fleet alone, so that no other test reuses the address of an ended process
 	groups map[string]*Group
 }
 
@@ -102,6 +106,7 @@
 	return &testFleet{t, &testNetwork{partitions: map[string]int{}, frozen: map[string]bool{}}, ip, map[string]*Group{}}
 }
 
+// open opens a group that is closed at the end of the test. configure may be nil.
 func (f *testFleet) open(name string, configure func(*Config), seeds ...string) *Group {
 	f.Helper()
 	cfg := Config{Name: name, Fleet: "test", Zone: "z1", Role: "sidecar", Version: "1", Bind: f.ip + ":0", Seeds: seeds,
@@ -119,7 +124,7 @@
 	return g
 }
 
-// openAll opens n groups and waits until all know each other. The first one is alone and is admitted by timeout.
+// openAll opens n groups and waits until all know each other. The first one starts alone and is admitted by timeout.
 func (f *testFleet) openAll(n int, configure func(*Config)) []*Group {
 	f.Helper()
 	all := []*Group{f.open("p0", func(c *Config) {
@@ -139,7 +144,7 @@
 	return all
 }
 
-// eventually waits for a condition.
+// eventually waits up to 20 s for a condition and fails the test with the reports of all groups otherwise.
 func (f *testFleet) eventually(what string, condition func() bool) {
 	f.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(testInterval / 5) {
@@ -152,7 +157,7 @@
 	}
 }
 
-// stateOf returns the state of the latest process of a name in a report, as "alive" or "gone left".
+// stateOf returns the state and proof of the latest process of a name in g's report, such as "alive" or "gone left".
 func stateOf(g *Group, name string) string {
 	out := ""
 	for _, m := range g.Report().Members {
@@ -163,7 +168,7 @@
 	return out
 }
 
-// quotaSum adds up the quotas that the groups derive from their views.
+// quotaSum returns the sum of the quotas that the groups derive from their views.
 func quotaSum(all ...*Group) float64 {
 	sum := 0.
 	for _, g := range all {
@@ -189,7 +194,7 @@
 	t.Parallel()
 	f := newTestFleet(t)
 	a := f.open("a", func(c *Config) { c.AdmitWithin = testInterval }, f.unusedAddr())
-	f.eventually("alone, it is admitted by timeout", func() bool {
+	f.eventually("a lone process is admitted by timeout", func() bool {
 		return a.View() == roster.View{Known: 1, Reachable: 1, Admitted: true, Forced: true}
 	})
 	var sent atomic.Int64
@@ -211,8 +216,10 @@
 	f.eventually("b left", func() bool { return stateOf(a, "b") == "gone left" && a.View().Known == 1 })
 	require.False(t, b.View().Admitted)
 	require.Equal(t, "gone left", stateOf(b, "b"))
-	end := time.Now().Add(4 * testInterval) // several of its rounds
-	f.eventually("a process that left sends nothing", func() bool { return time.Now().After(end) && sentBefore == sent.Load() })
+	end := time.Now().Add(4 * testInterval) // several gossip rounds
+	f.eventually("a process that has left sends nothing", func() bool {
+		return time.Now().After(end) && sentBefore == sent.Load()
+	})
 }
 
 func TestGroup_AdmissionNeedsAcks(t *testing.T) {
@@ -232,18 +239,20 @@
 	g := f.openAll(4, nil)
 	f.update(func() { f.frozen[g[3].addr] = true })
 	require.NoError(t, g[2].Close())
-	f.eventually("the crash is proved at all members", func() bool {
+	f.eventually("all members have a proof of the crash", func() bool {
 		return stateOf(g[0], "p2") == "gone refused" && stateOf(g[1], "p2") == "gone refused"
 	})
-	f.eventually("the frozen process is silent, and counts", func() bool {
+	f.eventually("the frozen process is unreachable and still counted", func() bool {
 		return stateOf(g[0], "p3") == "silent" && g[0].View() == roster.View{Known: 3, Reachable: 2, Admitted: true}
 	})
 	failedJoins := func() uint64 { return g[0].counters.failedJoins.Load() }
-	for before := failedJoins(); failedJoins() < before+2; time.Sleep(testInterval) { // repeated calls prove nothing
+	for before := failedJoins(); failedJoins() < before+2; time.Sleep(testInterval) { // failed calls are no proof
 		require.Equal(t, 3, g[0].View().Known)
 	}
 	f.update(func() { clear(f.frozen) })
-	f.eventually("it is back", func() bool { return stateOf(g[0], "p3") == "alive" && g[3].View().Reachable == 3 })
+	f.eventually("the frozen process is alive again", func() bool {
+		return stateOf(g[0], "p3") == "alive" && g[3].View().Reachable == 3
+	})
 }
 
 func TestGroup_DefectTrustDetector(t *testing.T) {
@@ -251,7 +260,7 @@
 	f := newTestFleet(t)
 	g := f.openAll(2, func(c *Config) { c.Defect, c.TrustRefused = DefectTrustDetector, false })
 	f.update(func() { f.partitions[g[1].addr] = 1 })
-	f.eventually("each side takes the whole", func() bool { return quotaSum(g...) > 1 })
+	f.eventually("each partition takes the whole budget", func() bool { return quotaSum(g...) > 1 })
 }
 
 func TestGroup_RefusalNotTrusted(t *testing.T) {
@@ -259,7 +268,7 @@
 	f := newTestFleet(t)
 	g := f.openAll(2, func(c *Config) { c.TrustRefused = false })
 	require.NoError(t, g[1].Close())
-	f.eventually("silent", func() bool { return stateOf(g[0], "p1") == "silent" })
+	f.eventually("p1 is unreachable", func() bool { return stateOf(g[0], "p1") == "silent" })
 	require.Equal(t, 2, g[0].View().Known)
 	require.ErrorIs(t, g[0].RemoveMember(roster.ID{Name: "p1", Start: 1}), ErrUnknownMember)
 	require.NoError(t, g[0].RemoveMember(g[1].Report().Self))
@@ -270,12 +279,12 @@
 func TestGroup_SuspicionRefuted(t *testing.T) {
 	t.Parallel()
 	f := newTestFleet(t)
-	g := f.openAll(2, func(c *Config) { c.Interval = 5 * testInterval }) // suspicion lasts for four intervals
+	g := f.openAll(2, func(c *Config) { c.Interval = 5 * testInterval }) // a suspicion lasts four intervals
 	f.update(func() { f.frozen[g[1].addr] = true })
-	f.eventually("suspected", func() bool { return stateOf(g[0], "p1") == "suspected" })
+	f.eventually("p1 is suspected", func() bool { return stateOf(g[0], "p1") == "suspected" })
 	require.Equal(t, roster.View{Known: 2, Reachable: 2, Admitted: true}, g[0].View())
 	f.update(func() { clear(f.frozen) })
-	f.eventually("refuted", func() bool { return stateOf(g[0], "p1") == "alive" })
+	f.eventually("p1 refutes the suspicion", func() bool { return stateOf(g[0], "p1") == "alive" })
 }
 
 func TestGroup_Restart(t *testing.T) {
@@ -294,7 +303,7 @@
 						c.Bind = g[2].addr
 					}
 				}, g[0].addr, g[1].addr)
-				f.eventually("it takes the place of the process before", func() bool {
+				f.eventually("the restarted process replaces the earlier one", func() bool {
 					return restarted.View() == roster.View{Known: 3, Reachable: 3, Admitted: true} && g[0].View() == restarted.View()
 				})
 				require.Greater(t, restarted.Report().Self.Start, before.Start)
@@ -307,7 +316,7 @@
 	t.Parallel()
 	f := newTestFleet(t)
 	g := f.openAll(2, nil)
-	duplicate := f.open("p1", func(c *Config) { c.Start = g[1].cfg.Start }, g[0].addr) // even with the same start
+	duplicate := f.open("p1", func(c *Config) { c.Start = g[1].cfg.Start }, g[0].addr) // the starts are equal, too
 	f.eventually("their starts differ", func() bool { return duplicate.Report().Self != g[1].Report().Self })
 	f.eventually("only the later one is admitted", func() bool {
 		n := 0
@@ -335,7 +344,7 @@
 	g := f.openAll(3, nil)
 	before := g[2].Report().Self
 	require.NoError(t, g[0].RemoveMember(before))
-	f.eventually("it takes a greater start, which all know", func() bool {
+	f.eventually("the removed process takes a greater start, which all members know", func() bool {
 		return g[2].Report().Self.Start > before.Start && !slices.ContainsFunc(g, func(g *Group) bool {
 			return g.View() != roster.View{Known: 3, Reachable: 3, Admitted: true}
 		})
@@ -348,7 +357,7 @@
 	f := newTestFleet(t)
 	g := f.openAll(4, nil)
 	f.update(func() { f.partitions[g[2].addr], f.partitions[g[3].addr] = 1, 1 })
-	f.eventually("both sides see two of four", func() bool {
+	f.eventually("both partitions reach two of four members", func() bool {
 		require.LessOrEqual(t, quotaSum(g...), 1.)
 		return !slices.ContainsFunc(g, func(g *Group) bool { return g.View().Reachable != 2 })
 	})
@@ -358,7 +367,7 @@
 		return time.Now().After(end)
 	})
 	f.update(func() { clear(f.partitions) })
-	f.eventually("one fleet again", func() bool {
+	f.eventually("all members reach each other again", func() bool {
 		return !slices.ContainsFunc(g, func(g *Group) bool { return g.View().Reachable != 4 || g.View().Known != 4 })
 	})
 }
@@ -372,7 +381,7 @@
 	conn, err := net.Dial("udp", g[0].addr)
 	require.NoError(t, err)
 	defer conn.Close()
-	for range 20 { // among them message types of the library
+	for range 20 { // random bytes, some of which are message types of the library
 		garbage := make([]byte, 1+rand.IntN(300))
 		for i := range garbage {
 			garbage[i] = byte(rand.Uint32())
@@ -382,7 +391,7 @@
 	for _, m := range []string{"", "{}", `{"v":2}`, `{"v":1,"k":"entries","e":[{"n":"y","s":1,"a":"127.0.0.9:1"}]}`} {
 		require.NoError(t, g[1].current.Load().library.SendToAddress(memberlist.Address{Addr: g[0].addr}, []byte(m)))
 	}
-	f.eventually("dropped and counted", func() bool {
+	f.eventually("foreign packets are dropped and counted", func() bool {
 		d := g[0].counters.dropsByReason()
 		return d["label"] > 0 && d["node"] > 0 && d["message"] >= 4
 	})
@@ -407,7 +416,7 @@
 	case err := <-done:
 		require.NoError(t, err)
 	case <-time.After(3 * time.Second):
-		t.Fatal("Close waits for the seed")
+		t.Fatal("Close blocks on the call to the seed")
 	}
 	require.ErrorIs(t, g.Leave(context.Background()), net.ErrClosed)
 }
--- a/internal/membership/http.go
+++ b/internal/membership/http.go
@@ -12,13 +12,17 @@
 )
 
 const (
-	// watchIdleInterval is how often a watch gets an empty line while nothing changes.
+	// watchIdleInterval is the time between two empty lines of a watch while nothing changes.
 	watchIdleInterval = 2 * time.Second
 	maxBodyBytes      = 4 << 10
 )
 
-// Handler serves reports and operators' requests: GET /members, with ?watch=1 a line at each change and an empty one each
-// 2 s; POST /members/leave; POST /members/gone with {"name", "start"}. It does no authentication.
+// Handler returns the handler of the HTTP API, which does no authentication:
+//
+//   - GET /members returns the Report. With ?watch=1 it streams a report per line at each change, and an empty line
+//     every 2 s while nothing changes.
+//   - POST /members/leave makes this process leave the fleet.
+//   - POST /members/gone with {"name", "start"} removes a process that has ended.
 func (g *Group) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /members", g.serveReport)
@@ -31,13 +35,13 @@
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	if r.URL.Query().Get("watch") == "" {
-		_ = encoder.Encode(g.Report()) // fails only if the caller has gone
+		_ = encoder.Encode(g.Report()) // fails only if the client has disconnected
 		return
 	}
 	g.watchReport(r.Context(), w, encoder)
 }
 
-// watchReport writes a report at each change until the caller or the owner has gone.
+// watchReport writes a report at each change until the client disconnects or the owner ends.
 func (g *Group) watchReport(ctx context.Context, w http.ResponseWriter, encoder *json.Encoder) {
 	flush := http.NewResponseController(w)
 	idle := time.NewTicker(watchIdleInterval)
@@ -83,6 +87,7 @@
 	writeResult(w, g.RemoveMember(id))
 }
 
+// writeResult writes the response for the result of an operator's request.
 func writeResult(w http.ResponseWriter, err error) {
 	switch {
 	case err == nil:
--- a/internal/membership/instance.go
+++ b/internal/membership/instance.go
@@ -12,12 +12,13 @@
 	"marblelane/internal/membership/roster"
 )
 
-// maxIdleChanges is the size above which the map of changes is replaced once it is empty, to release its memory.
+// maxIdleChanges is the largest size of the map of changes that is kept for reuse. A larger map is replaced, to release
+// its memory.
 const maxIdleChanges = 64
 
-// instance is one node of the library: one incarnation of this process. The library calls its methods
+// instance is one node of the library, which is one incarnation of this process. The library calls its methods
 // (instance_delegate.go) from its own goroutines and under its own locks. They therefore take no lock but the
-// instance's, hold it for moments, and never wait.
+// instance's, hold it briefly, and never block.
 type instance struct {
 	id        roster.ID
 	meta      []byte
@@ -25,7 +26,7 @@
 	transport *instanceTransport
 	library   *memberlist.Memberlist
 
-	// Of the owner, safe for concurrent use.
+	// Fields of the owner, safe for concurrent use.
 	broadcasts *memberlist.TransmitLimitedQueue
 	pushPull   *pushPullCache
 	received   *messageQueue
@@ -33,11 +34,12 @@
 	countDrop  func(why string)
 
 	mu sync.Mutex
-	// alive holds the failure detector's verdicts by node name. It is a state and no stream, so none can be lost.
+	// alive holds the nodes that the failure detector holds alive or suspects, by node name. The owner reads this state
+	// instead of a stream of events, so no change is lost.
 	alive      map[string]*aliveNode
-	changed    map[roster.ID]string // names of the nodes that changed since the last takeChanges
-	lastParsed *peer
-	conflict   bool // another process claims this node's name
+	changed    map[roster.ID]string // names of the nodes that have changed since the last takeChanges
+	lastParsed *peer                // result of the last successful parseNode
+	conflict   bool                 // another process uses this node's name
 }
 
 // aliveNode is a node that is alive or suspected. It is immutable.
@@ -46,7 +48,7 @@
 	suspected bool
 }
 
-// nodeChange is the new state of a node; a nil node is not alive.
+// nodeChange is the new state of a node. node is nil if it is no longer alive.
 type nodeChange struct {
 	id   roster.ID
 	node *aliveNode
@@ -64,13 +66,13 @@
 	library, err := memberlist.Create(conf)
 	if err != nil {
 		i.transport.closed.Store(true)
-		return fmt.Errorf("join as %s: %w", conf.Name, err)
+		return fmt.Errorf("start node %s: %w", conf.Name, err)
 	}
 	i.library = library
 	return nil
 }
 
-// libraryConfig scales the library's times by the interval between two probes.
+// libraryConfig returns the library's configuration, with times in proportion to the interval between two probes.
 func libraryConfig(cfg *Config) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Label = cfg.Fleet
@@ -78,7 +80,7 @@
 	c.GossipInterval = cfg.Interval / 5
 	c.PushPullInterval, c.GossipToTheDeadTime = 30*cfg.Interval, 30*cfg.Interval
 	c.TCPTimeout = min(max(5*cfg.Interval, time.Second), 10*time.Second)
-	c.EnableCompression = false // packets are small, and compression would cost more than the rest
+	c.EnableCompression = false // packets are small, and compressing them would use more CPU time than all else
 	if cfg.Advertise != "" {
 		if at, err := netip.ParseAddrPort(cfg.Advertise); err == nil {
 			c.AdvertiseAddr, c.AdvertisePort = at.Addr().String(), int(at.Port())
@@ -87,7 +89,7 @@
 	return c
 }
 
-// shutdown stops the library without a leave. Nothing is sent after that.
+// shutdown stops the library without leaving. Nothing is sent after that.
 func (i *instance) shutdown() {
 	i.transport.closed.Store(true)
 	if i.library != nil {
@@ -95,7 +97,7 @@
 	}
 }
 
-// addr returns the address that the library has for this process.
+// addr returns this process's address in the library's list of nodes, or "" if NotifyAlive has rejected it.
 func (i *instance) addr() string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -105,7 +107,7 @@
 	return ""
 }
 
-// takeChanges returns the state of the other nodes that may have changed since the last call.
+// takeChanges returns the state of the other nodes whose state may have changed since the last call.
 func (i *instance) takeChanges() []nodeChange {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -125,7 +127,7 @@
 	return changes
 }
 
-// markChanged has the next takeChanges return these nodes, too.
+// markChanged adds nodes to the result of the next takeChanges.
 func (i *instance) markChanged(nodes map[roster.ID]*aliveNode) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -134,7 +136,7 @@
 	}
 }
 
-// takeConflict reports once that another process claims this node's name.
+// takeConflict reports whether a conflict over this node's name was found since the last call.
 func (i *instance) takeConflict() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/membership/instance_delegate.go
+++ b/internal/membership/instance_delegate.go
@@ -1,6 +1,6 @@
 package membership
 
-// This file holds the callbacks that the library calls at an instance.
+// This file implements the library's delegate interfaces.
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	_ memberlist.PingDelegate     = (*instance)(nil)
 )
 
-// NotifyAlive rejects nodes that are not of the form that this package gives them.
+// NotifyAlive rejects nodes whose name, metadata or address is invalid.
 func (i *instance) NotifyAlive(n *memberlist.Node) error {
 	if _, err := i.parseNode(n); err != nil {
 		i.countDrop("node")
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// parseNode checks a node. The library reports the same one many times, so the result is reused while the node is alive, and
-// between NotifyAlive and NotifyJoin.
+// parseNode checks and converts a node. The library reports the same node many times, so the result is cached while the
+// node is alive, and between NotifyAlive and NotifyJoin.
 func (i *instance) parseNode(n *memberlist.Node) (*peer, error) {
 	i.mu.Lock()
 	alive, last := i.alive[n.Name], i.lastParsed
@@ -53,7 +53,7 @@
 func (i *instance) NotifyJoin(n *memberlist.Node) {
 	p, err := i.parseNode(n)
 	if err != nil {
-		return // NotifyAlive has rejected it
+		return // NotifyAlive has already rejected it
 	}
 	i.mu.Lock()
 	i.alive[n.Name] = &aliveNode{peer: p}
@@ -65,7 +65,7 @@
 // NotifyUpdate records that a node has changed its metadata or address.
 func (i *instance) NotifyUpdate(n *memberlist.Node) { i.NotifyJoin(n) }
 
-// NotifyLeave records that a node is dead by the failure detector, or has left.
+// NotifyLeave records that the failure detector has declared a node dead, or that it has left.
 func (i *instance) NotifyLeave(n *memberlist.Node) {
 	i.mu.Lock()
 	if before := i.alive[n.Name]; before != nil {
@@ -76,7 +76,7 @@
 	wakeUp(i.wake)
 }
 
-// NotifyConflict records that two addresses claim one node name. The library keeps the first.
+// NotifyConflict records that two addresses use the same node name. The library keeps the first.
 func (i *instance) NotifyConflict(existing, _ *memberlist.Node) {
 	i.countDrop("conflict")
 	if existing.Name == nodeName(i.id) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// markSuspected records that this process suspects a node.
+// markSuspected records that this process suspects a node to have failed.
 func (i *instance) markSuspected(node string) { i.setSuspected(node, true) }
 
 func (i *instance) setSuspected(node string, suspected bool) {
@@ -104,21 +104,21 @@
 	}
 }
 
-// AckPayload adds nothing to the answer to a ping.
+// AckPayload returns nil, as this package adds nothing to the acknowledgements of pings.
 func (i *instance) AckPayload() []byte { return nil }
 
-// NotifyPingComplete records that a node answered: it is not suspected any more.
+// NotifyPingComplete clears the suspicion of a node that has acknowledged a ping.
 func (i *instance) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
 	i.setSuspected(n.Name, false)
 }
 
-// NodeMeta returns the metadata, which is within the library's limit (see meta.encode).
+// NodeMeta returns the metadata. meta.encode checks that it is within the library's limit.
 func (i *instance) NodeMeta(int) []byte { return i.meta }
 
-// NotifyMsg receives a user message.
+// NotifyMsg handles a user message.
 func (i *instance) NotifyMsg(b []byte) { i.receive(b) }
 
-// MergeRemoteState receives what the other end of a push/pull knows. Mostly it is what this process knows.
+// MergeRemoteState handles the state received in a push/pull. It is mostly equal to the local state, and then ignored.
 func (i *instance) MergeRemoteState(b []byte, _ bool) {
 	if own := i.pushPull.load(); own != nil && bytes.Equal(b, own.bytes()) {
 		return
@@ -126,7 +126,7 @@
 	i.receive(b)
 }
 
-// receive queues a message for the owner.
+// receive decodes a message and queues it for the owner.
 func (i *instance) receive(b []byte) {
 	if i.transport.closed.Load() {
 		return
@@ -147,7 +147,7 @@
 	return i.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState returns what a push/pull says beside the library's own list of nodes.
+// LocalState returns the state that a push/pull carries in addition to the library's own list of nodes.
 func (i *instance) LocalState(bool) []byte {
 	own := i.pushPull.load()
 	if own == nil {
@@ -156,16 +156,16 @@
 	return own.bytes()
 }
 
-// entryBroadcast is an entry to broadcast. A later one of the same process replaces it.
+// entryBroadcast is a queued broadcast of an entry. A later broadcast for the same process replaces it.
 type entryBroadcast struct {
 	node string
 	text []byte
 }
 
-// Name returns the node that the entry is about.
+// Name returns the name of the entry's node.
 func (b *entryBroadcast) Name() string { return b.node }
 
-// Invalidates reports whether this broadcast makes another one superfluous.
+// Invalidates reports whether this broadcast replaces another one.
 func (b *entryBroadcast) Invalidates(other memberlist.Broadcast) bool {
 	o, ok := other.(*entryBroadcast)
 	return ok && o.node == b.node
@@ -174,5 +174,5 @@
 // Message returns the bytes to send.
 func (b *entryBroadcast) Message() []byte { return b.text }
 
-// Finished is called when the broadcast was sent often enough.
+// Finished is called when the broadcast was sent for the last time. It does nothing.
 func (b *entryBroadcast) Finished() {}
--- a/internal/membership/instance_transport.go
+++ b/internal/membership/instance_transport.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// instanceTransport is the group's transport as one instance of the library sees it. Shutting it down closes no sockets:
-// the next instance of this process uses them, under its new name.
+// instanceTransport is the transport of one instance of the library, backed by that of the group. Shutdown closes no
+// sockets, as the next instance of this process uses them under its new name.
 type instanceTransport struct {
 	memberlist.NodeAwareTransport
 	closed atomic.Bool
@@ -41,7 +41,7 @@
 	return t.NodeAwareTransport.DialAddressTimeout(a, timeout)
 }
 
-// Shutdown makes all later calls fail.
+// Shutdown makes all later sends and dials fail with net.ErrClosed.
 func (t *instanceTransport) Shutdown() error {
 	t.closed.Store(true)
 	return nil
--- a/internal/membership/join_limiter.go
+++ b/internal/membership/join_limiter.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// joinBurst is how many calls the joiner may make at once.
+	// joinBurst is the number of calls that the joiner may make at once.
 	joinBurst = 5
-	// joinsPerInterval is how many calls it may make in an interval after that.
+	// joinsPerInterval is the number of calls per interval after the burst, without a slowdown.
 	joinsPerInterval = 2
-	// maxJoinSlowdown is the largest factor by which that rate is divided.
+	// maxJoinSlowdown is the largest slowdown, which is the factor by which that rate is divided.
 	maxJoinSlowdown = 16
-	// The slowdown grows by these factors after a late timer and a failed call, and shrinks after a successful call.
+	// Factors of the slowdown after a late timer, a failed call and a successful call.
 	lateTimerFactor   = 2
 	failedJoinFactor  = 1.25
 	joinSuccessFactor = 0.5
 )
 
-// joinLimiter bounds the rate of the joiner's calls: a token bucket whose rate falls while calls fail or timers are late.
-// The members of a fleet that is short of processors take each other for dead, and their calls would keep it short.
+// joinLimiter limits the rate of the joiner's calls by a token bucket whose rate falls while calls fail or timers are
+// late. The members of a fleet that lacks CPU time declare each other dead, and unlimited calls would prolong the lack.
 type joinLimiter struct {
 	bucket   *rate.Limiter
 	fullRate rate.Limit
@@ -32,7 +32,7 @@
 	return &joinLimiter{bucket: rate.NewLimiter(full, joinBurst), fullRate: full, slowdown: 1}
 }
 
-// reserve takes a token for one call and returns 0, or returns how long there is none.
+// reserve takes a token for one call and returns 0. If there is no token, it returns the time until the next one.
 func (l *joinLimiter) reserve() time.Duration {
 	reservation := l.bucket.Reserve()
 	delay := reservation.Delay()
@@ -42,10 +42,10 @@
 	return delay
 }
 
-// recordLateTimer lowers the rate, as a late timer shows that the machine is short of processors.
+// recordLateTimer lowers the rate, as a late timer indicates that the machine lacks CPU time.
 func (l *joinLimiter) recordLateTimer() { l.setSlowdown(l.slowdown * lateTimerFactor) }
 
-// recordResult adapts the rate to the result of a call.
+// recordResult lowers the rate after a failed call and raises it after a successful one.
 func (l *joinLimiter) recordResult(err error) {
 	if err != nil {
 		l.setSlowdown(l.slowdown * failedJoinFactor)
--- a/internal/membership/join_limiter_test.go
+++ b/internal/membership/join_limiter_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestJoinLimiter(t *testing.T) {
-	l := newJoinLimiter(time.Hour) // no token is added meanwhile
+	l := newJoinLimiter(time.Hour) // so long that no token is added during the test
 	for range joinBurst {
 		require.Zero(t, l.reserve())
 	}
@@ -25,7 +25,7 @@
 	for range 5 {
 		l.recordResult(nil)
 	}
-	require.InDelta(t, first, l.reserve(), float64(time.Minute), "it recovers")
+	require.InDelta(t, first, l.reserve(), float64(time.Minute), "the rate recovers after successful calls")
 }
 
 func TestPushPull_UnreportedEntries(t *testing.T) {
@@ -34,10 +34,10 @@
 	g := f.openAll(3, func(c *Config) { c.TrustRefused = false })
 	require.Equal(t, `{"v":1,"k":"entries"}`, string(g[0].current.Load().LocalState(false)))
 	require.NoError(t, g[2].Close())
-	f.eventually("silent", func() bool { return stateOf(g[0], "p2") == "silent" })
+	f.eventually("p2 is unreachable", func() bool { return stateOf(g[0], "p2") == "silent" })
 	m, err := decodeMessage(g[0].current.Load().LocalState(false), nil)
 	require.NoError(t, err)
 	require.Equal(t, []roster.Entry{{Name: "p2", Start: g[2].cfg.Start, Addr: g[2].addr}}, m.rosterEntries())
 	joining := f.open("p3", func(c *Config) { c.TrustRefused = false }, g[0].addr)
-	f.eventually("a joining process learns of the silent one", func() bool { return joining.View().Known == 4 })
+	f.eventually("a joining process learns of the unreachable one", func() bool { return joining.View().Known == 4 })
 }
--- a/internal/membership/joiner.go
+++ b/internal/membership/joiner.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	resolveTimeout = 2 * time.Second
+	resolveTimeout = 2 * time.Second // of a seed's DNS lookup
 
-	// The pause between two attempts grows from a tenth of an interval to maxJoinPause intervals.
+	// The pause between two attempts grows from 1/firstJoinPauseFraction of an interval to maxJoinPauseIntervals.
 	firstJoinPauseFraction = 10
 	maxJoinPauseIntervals  = 15
 	joinPauseFactor        = 1.3
-	// aloneJoinPauseIntervals is the longest pause, in intervals, of a process that reaches no other: no member would call it.
+	// aloneJoinPauseIntervals is the longest pause of a process that reaches no other process, as no member calls it.
 	aloneJoinPauseIntervals = 2
-	// lateTimerFraction: a timer that fires this part of an interval late shows that the machine is short of processors.
+	// A timer that fires more than 1/lateTimerFraction of an interval late indicates that the machine lacks CPU time.
 	lateTimerFraction = 4
 )
 
-// joiner exchanges all knowledge (push/pull) with seeds and unreachable members, one at a time. The library never calls
-// a node again that it took for dead, so after a long split no member would. Reachable seeds are left alone.
+// joiner exchanges the full state (push/pull) with seeds and unreachable members, one at a time. The library never
+// contacts a node that it has declared dead, so without the joiner a long partition would never heal. Reachable seeds
+// are skipped.
 type joiner struct {
 	*shared
 	pause   *backoff.ExponentialBackOff
 	limiter *joinLimiter
-	dueAt   time.Time // when the timer should fire
-	round   []string  // addresses to try before any is tried again
-	seeds   []string  // addresses as they were resolved last
-	// requestedExchanges counts the exchanges that the owner requestedExchanges.
+	dueAt   time.Time // time at which the timer should fire
+	round   []string  // addresses still to contact in this round
+	seeds   []string  // the seeds' addresses as last resolved
+	// requestedExchanges is the number of exchanges that the owner has requested.
 	requestedExchanges int
 }
 
@@ -45,7 +46,7 @@
 	return &joiner{shared: s, pause: pause, limiter: newJoinLimiter(s.cfg.Interval)}
 }
 
-// run is the joiner's goroutine.
+// run performs exchanges until this process leaves or the group is closed.
 func (j *joiner) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -55,7 +56,7 @@
 		case <-j.ctx.Done():
 			return
 		case r := <-j.exchanges:
-			_ = j.exchange(j.exchangeTarget(r)) // failures are counted
+			_ = j.exchange(j.exchangeTarget(r)) // exchange counts failures
 		case <-j.joinWake:
 			timer.Reset(j.restart())
 		case <-timer.C:
@@ -64,8 +65,8 @@
 	}
 }
 
-// exchangeTarget returns the address for a requested exchange. Every other time it is a reachable seed, if there is one:
-// joining processes contact the seeds first, so seeds know most.
+// exchangeTarget returns the address for a requested exchange. Every other time it is a reachable seed, if there is
+// one, as joining processes contact the seeds first and these therefore have the most complete state.
 func (j *joiner) exchangeTarget(r exchangeRequest) string {
 	j.requestedExchanges++
 	if j.requestedExchanges%2 == 1 && len(j.seeds) > 0 {
@@ -76,19 +77,22 @@
 	return r.addr
 }
 
-// restart begins a new round with short pauses. It returns a random time to wait, so that not all members call at once.
+// restart begins a new round and resets the backoff. It returns a random time to wait, so that the members do not all
+// call at once.
 func (j *joiner) restart() time.Duration {
 	j.pause.Reset()
 	j.round = nil
 	return j.schedule(time.Duration(rand.Int64N(int64(j.cfg.Interval))))
 }
 
+// schedule records when the timer is due to fire, and returns wait.
 func (j *joiner) schedule(wait time.Duration) time.Duration {
 	j.dueAt = time.Now().Add(wait)
 	return wait
 }
 
-// attemptNext exchanges with the next address of the round, and returns the time to wait after that.
+// attemptNext performs an exchange with the next address of the round that is not reachable, and returns the time to
+// wait before the next attempt.
 func (j *joiner) attemptNext() time.Duration {
 	if time.Since(j.dueAt) > j.cfg.Interval/lateTimerFraction {
 		j.limiter.recordLateTimer()
@@ -105,7 +109,7 @@
 		if limiterWait = j.limiter.reserve(); limiterWait == 0 {
 			err := j.exchange(j.round[0])
 			if j.limiter.recordResult(err); err == nil {
-				_ = j.runOnOwner(j.ctx, scanMembers{}) // so that members that are reachable now are skipped
+				_ = j.runOnOwner(j.ctx, scanMembers{}) // so that members that have become reachable are skipped
 			}
 			j.round = j.round[1:]
 		}
@@ -130,9 +134,9 @@
 	return nil
 }
 
-// candidates returns the addresses to try: the seeds and members that are unreachable, or all that are known if none is
-// reachable. They are in random order, so that members do not call the same ones. It also returns the addresses of all
-// seeds.
+// candidates returns the addresses to contact: the unreachable seeds and members, or all known ones if none is
+// reachable. They are in random order, so that the members do not all contact the same ones. It also returns the
+// addresses of all seeds.
 func (j *joiner) candidates() (all, seeds []string) {
 	peers := j.peers.Load()
 	add := func(addr string) {
@@ -158,20 +162,20 @@
 	return all, seeds
 }
 
-// resolve returns the addresses of a seed. The library's own look-up cannot be cancelled.
+// resolve returns the addresses of a seed. The library's own lookup cannot be cancelled.
 func (j *joiner) resolve(seed string) []string {
 	if at, err := netip.ParseAddrPort(seed); err == nil {
 		return []string{netip.AddrPortFrom(at.Addr().Unmap(), at.Port()).String()}
 	}
 	host, port, err := net.SplitHostPort(seed)
 	if err != nil {
-		return nil // Config checks seeds
+		return nil // unreachable, as Config checks the seeds
 	}
 	ctx, cancel := context.WithTimeout(j.ctx, resolveTimeout)
 	defer cancel()
 	ips, err := net.DefaultResolver.LookupNetIP(ctx, "ip", host)
 	if err != nil {
-		j.log.Debug("members: look-up of a seed failed", "seed", seed, "err", err)
+		j.log.Debug("members: seed lookup failed", "seed", seed, "err", err)
 	}
 	var all []string
 	for _, ip := range ips {
--- a/internal/membership/library_log.go
+++ b/internal/membership/library_log.go
@@ -10,8 +10,9 @@
 	"golang.org/x/time/rate"
 )
 
-// libraryLog receives the library's log lines. They are the only place where it reports that it suspects a node or has
-// dropped a packet. Its warnings are logged at a limited rate, with the number of suppressed ones; all else at debug level.
+// libraryLog processes the library's log lines. Only they report that the library suspects a node or has dropped a
+// packet. Warnings are logged at a limited rate, with the number of suppressed ones. All other lines are logged at
+// debug level.
 type libraryLog struct {
 	log        *slog.Logger
 	limiter    *rate.Limiter
@@ -24,7 +25,8 @@
 	return &libraryLog{log: log, limiter: rate.NewLimiter(1, 5), onSuspect: suspect, onDrop: dropped}
 }
 
-// dropPrefixes are the beginnings of the library's lines about what it dropped, and the reasons under which they count.
+// dropPrefixes are the prefixes of the library's log lines that report a dropped packet or stream, with the reasons
+// under which the drops are counted.
 var dropPrefixes = [...]struct{ prefix, reason string }{
 	{"discarding packet with unacceptable label", "label"},
 	{"discarding stream with unacceptable label", "label"},
@@ -46,7 +48,7 @@
 	{"Too many pending push/pull", "queue"},
 }
 
-// Write receives one line, as log.Logger writes it.
+// Write processes one line. log.Logger calls Write once per line.
 func (l *libraryLog) Write(b []byte) (int, error) {
 	level, text := "ERR", strings.TrimSpace(string(b))
 	if tagged, ok := strings.CutPrefix(text, "["); ok {
@@ -60,7 +62,7 @@
 		}
 	}
 	if strings.Contains(text, "stream label header: EOF") {
-		level = "DEBUG" // a caller sent nothing, as a prober does
+		level = "DEBUG" // the caller sent nothing, as the probers of other members do
 	}
 	for _, r := range dropPrefixes {
 		if level != "DEBUG" && strings.HasPrefix(text, r.prefix) {
@@ -80,5 +82,5 @@
 	return len(b), nil
 }
 
-// newStandardLogger returns the logger that the library wants.
+// newStandardLogger wraps a libraryLog in the logger type that the library requires.
 func newStandardLogger(l *libraryLog) *log.Logger { return log.New(l, "", 0) }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -8,42 +8,43 @@
 	"marblelane/internal/membership/roster"
 )
 
-// messageVersion is the version of the messages that processes send in the library's user messages and push/pull. Fields
-// that a newer program adds are ignored; a change that older ones would misunderstand raises the version.
+// messageVersion is the version of the messages that processes send in the library's user messages and push/pulls.
+// Unknown fields of newer versions of the program are ignored. A change that older versions would misinterpret must
+// raise messageVersion.
 const messageVersion = 1
 
-// kind is the kind of a message. The texts are part of the wire form.
+// kind is the kind of a message. The values are part of the wire format.
 type kind string
 
 const (
 	kindEntries    kind = "entries" // entries of the sender's roster
-	kindAckRequest kind = "ask"     // a joining process's own entry, to be acknowledged
-	kindAck        kind = "ack"     // the answer of a process that knows it, with its digest
+	kindAckRequest kind = "ask"     // a joining process's own entry, sent to request an acknowledgement
+	kindAck        kind = "ack"     // the response of a process that knows the joining one, with its digest
 )
 
-// Bounds of a message. A push/pull may carry all entries of a large roster.
+// Bounds of a message. They allow a push/pull to carry all entries of a large roster.
 const (
-	maxMessageBytes = 2 << 20 // bytes
+	maxMessageBytes = 2 << 20
 	maxEntries      = 8192
 )
 
-// message is what processes send to each other, in JSON.
+// message is a message between processes, encoded as JSON.
 type message struct {
 	Version      int         `json:"v"`
 	Kind         kind        `json:"k"`
 	Entries      []wireEntry `json:"e,omitempty"`
-	Sender       processID   `json:"b,omitzero"` // the sender of an acknowledgement or its request
+	Sender       processID   `json:"b,omitzero"` // the sender of an acknowledgement or of a request for one
 	Acknowledged processID   `json:"t,omitzero"` // the process that is acknowledged
 	Digest       uint64      `json:"d,omitempty"`
 }
 
-// processID is roster.ID on the wire.
+// processID is the wire format of roster.ID.
 type processID struct {
 	Name  string `json:"n"`
 	Start int64  `json:"s"`
 }
 
-// wireEntry is roster.Entry on the wire.
+// wireEntry is the wire format of roster.Entry.
 type wireEntry struct {
 	Name  string `json:"n"`
 	Start int64  `json:"s"`
@@ -54,6 +55,7 @@
 	Observer bool `json:"o,omitempty"`
 }
 
+// encodeEntries returns a message with the given entries.
 func encodeEntries(k kind, entries ...roster.Entry) message {
 	m := message{Version: messageVersion, Kind: k, Entries: make([]wireEntry, len(entries))}
 	for i, e := range entries {
@@ -67,39 +69,39 @@
 	m.Version = messageVersion
 	b, err := json.Marshal(m)
 	if err != nil {
-		panic(fmt.Sprintf("encode a message: %v", err)) // no field of it can fail
+		panic(fmt.Sprintf("encode message: %v", err)) // all fields have types that can be encoded
 	}
 	return b
 }
 
-// decodeMessage decodes and checks a message, which may come from any sender. An unknown kind is no error, as a newer
-// program may have more kinds.
+// decodeMessage decodes and checks a message from an untrusted sender. An unknown kind is no error, as newer versions
+// of the program may have more kinds.
 func decodeMessage(b []byte, networks []netip.Prefix) (message, error) {
 	var m message
 	if len(b) > maxMessageBytes {
-		return m, fmt.Errorf("message of %d bytes is longer than %d", len(b), maxMessageBytes)
+		return m, fmt.Errorf("message of %d bytes exceeds the limit of %d", len(b), maxMessageBytes)
 	}
 	if err := json.Unmarshal(b, &m); err != nil {
-		return message{}, fmt.Errorf("message: %w", err)
+		return message{}, fmt.Errorf("decode message: %w", err)
 	}
 	if m.Version != messageVersion {
-		return message{}, fmt.Errorf("message of version %d, not %d", m.Version, messageVersion)
+		return message{}, fmt.Errorf("message version %d is not supported, want %d", m.Version, messageVersion)
 	}
 	if len(m.Entries) > maxEntries {
-		return message{}, fmt.Errorf("message of %d entries, more than %d", len(m.Entries), maxEntries)
+		return message{}, fmt.Errorf("message of %d entries exceeds the limit of %d", len(m.Entries), maxEntries)
 	}
 	for _, e := range m.Entries {
 		if err := e.check(networks); err != nil {
-			return message{}, fmt.Errorf("message: %w", err)
+			return message{}, fmt.Errorf("check message: %w", err)
 		}
 	}
 	if err := m.checkProcessIDs(); err != nil {
-		return message{}, fmt.Errorf("message %s: %w", m.Kind, err)
+		return message{}, fmt.Errorf("check message of kind %s: %w", m.Kind, err)
 	}
 	return m, nil
 }
 
-// checkProcessIDs checks the processes that a message of its kind must name.
+// checkProcessIDs checks the process IDs that a message of this kind requires.
 func (m message) checkProcessIDs() error {
 	var ids []processID
 	switch m.Kind {
@@ -114,33 +116,35 @@
 		}
 	}
 	if m.Kind == kindAckRequest && !m.hasOwnEntry() {
-		return fmt.Errorf("%s@%d does not say where it is", m.Sender.Name, m.Sender.Start)
+		return fmt.Errorf("sender %s@%d: its entry or address is missing", m.Sender.Name, m.Sender.Start)
 	}
 	return nil
 }
 
-// hasOwnEntry reports whether the message has one entry, which is its sender's and has an address.
+// hasOwnEntry reports whether the message has exactly one entry, which is its sender's and has an address.
 func (m message) hasOwnEntry() bool {
 	return len(m.Entries) == 1 && processID{m.Entries[0].Name, m.Entries[0].Start} == m.Sender && m.Entries[0].Addr != ""
 }
 
+// check checks an entry from an untrusted sender.
 func (e wireEntry) check(networks []netip.Prefix) error {
 	if err := checkID(roster.ID{Name: e.Name, Start: e.Start}); err != nil {
 		return err
 	}
 	if e.Gone < 0 || e.Gone >= maxStart || (e.Gone == 0) != (e.Proof == 0) {
-		return fmt.Errorf("entry %q is gone at %d by proof %d", e.Name, e.Gone, e.Proof)
+		return fmt.Errorf("entry %q: gone %d with proof %d is invalid", e.Name, e.Gone, e.Proof)
 	}
 	if e.Addr == "" {
 		return nil
 	}
 	at, err := netip.ParseAddrPort(e.Addr)
 	if err != nil || len(e.Addr) > maxAddrBytes || at.Port() == 0 {
-		return fmt.Errorf("entry %q: %q is no IP:PORT", e.Name, e.Addr)
+		return fmt.Errorf("entry %q: %q is not IP:PORT", e.Name, e.Addr)
 	}
 	return withEntryName(e.Name, checkMemberAddr(networks, at.Addr()))
 }
 
+// withEntryName prefixes an error with an entry's name. It returns nil for a nil error.
 func withEntryName(name string, err error) error {
 	if err == nil {
 		return nil
@@ -148,7 +152,7 @@
 	return fmt.Errorf("entry %q: %w", name, err)
 }
 
-// rosterEntries returns the entries in the form of package rosterEntries.
+// rosterEntries converts the entries to those of package roster.
 func (m message) rosterEntries() []roster.Entry {
 	out := make([]roster.Entry, len(m.Entries))
 	for i, e := range m.Entries {
@@ -158,5 +162,5 @@
 	return out
 }
 
-// weight is what a message counts for in a messageQueue.
+// weight returns the weight of a message in a messageQueue: 1, and 1 for each entry.
 func (m message) weight() int { return 1 + len(m.Entries) }
--- a/internal/membership/message_queue.go
+++ b/internal/membership/message_queue.go
@@ -2,21 +2,22 @@
 
 import "sync"
 
-// maxQueueWeight is the capacity of a queue, in messages and entries together: four push/pulls with the most entries.
+// maxQueueWeight is the capacity of a queue, as the sum of its messages and their entries. It holds about four
+// push/pulls with maxEntries each.
 const maxQueueWeight = 4 * maxEntries
 
-// messageQueue passes messages from the library's callbacks, which run under its locks and must not wait, to the owneq.
-// When it is full the oldest are dropped and counted; push/pull repeats what they said.
+// messageQueue passes messages from the library's callbacks, which run under its locks and must not block, to the
+// owner. When it is full, the oldest messages are dropped and counted. A later push/pull repeats their entries.
 type messageQueue struct {
 	maxWeight int
 
 	mu      sync.Mutex
 	items   []message
 	weight  int
-	dropped uint64
+	dropped uint64 // total number of dropped messages
 }
 
-// push appends a message, and returns how many were dropped for it.
+// push appends a message, and returns the number of messages that were dropped to make room for it.
 func (q *messageQueue) push(m message) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/membership/owner.go
+++ b/internal/membership/owner.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// viewInterval is how often Config.ViewChanged is called at least.
+	// viewInterval is the longest time between two calls of Config.ViewChanged.
 	viewInterval = time.Second
-	// viewIntervalSlack is how much earlier it may be called, so that a timer that fires early is not lost.
+	// viewIntervalSlack is how much before viewInterval the call may be made, so that a timer that fires early still
+	// triggers it.
 	viewIntervalSlack = viewInterval / 10
-	// minOwnerPause is the shortest time between two rounds of the owner that nothing wakes.
+	// minOwnerPause is the shortest time between two rounds that the owner's timer triggers.
 	minOwnerPause = viewInterval / 100
 
-	// scanPausePerMember is the time between two scans for each known process. A scan visits all of them, so this bounds
-	// the owner's work to some thousands of visits a second, however many messages arrive.
+	// scanPausePerMember is the shortest time between two scans, per known process. A scan visits all processes, so
+	// this bounds the owner's work to some thousands of visits a second, however many messages arrive.
 	scanPausePerMember = time.Millisecond
-	// neverScanned as the time of the last scan makes the next one due at once.
+	// neverScanned is a value of lastScan with which a scan is due at once.
 	neverScanned = -time.Hour
 
-	// retransmitMultiplier is memberlist's factor for how often a broadcast is sent.
+	// retransmitMultiplier is memberlist's factor for the number of times a broadcast is sent.
 	retransmitMultiplier = 4
 )
 
-// owner holds the roster. All of its fields belong to its goroutine, but for those that say otherwise.
+// owner holds the roster and publishes its view. Only its goroutine uses its fields, unless noted otherwise.
 type owner struct {
 	*shared
 	meta     meta
 	roster   *roster.Roster
-	received messageQueue // filled by the instances
+	received messageQueue // written by the instances
 	// broadcasts and pushPull are read by the instances.
 	broadcasts memberlist.TransmitLimitedQueue
 	pushPull   pushPullCache
 
-	reachable         map[roster.ID]*aliveNode    // by the failure detector
-	observedInstance  *instance                   // to which reachable belongs
-	pendingBroadcasts map[roster.ID]time.Duration // processes to broadcast (see broadcastPending), and since when
-	ackRequests       []roster.Entry              // processes that wait for this one's acknowledgement
+	reachable         map[roster.ID]*aliveNode    // nodes that the failure detector holds alive or suspects
+	observedInstance  *instance                   // the instance that reachable was read from
+	pendingBroadcasts map[roster.ID]time.Duration // time since which each waits (see broadcastPending)
+	ackRequests       []roster.Entry              // processes that have requested an acknowledgement
 
 	acks       ackProgress
 	exchange   exchangeSchedule
@@ -49,10 +50,10 @@
 	viewNotifiedAt  time.Duration
 	lastScan        time.Duration
 	scanNeeded      bool // something has changed since the last scan
-	hasSharedNames  bool // several alive processes share a name and may become duplicates
+	hasSharedNames  bool // several alive processes have the same name and may become duplicates
 }
 
-// startOwner starts the library and the roster, but not the owner's goroutine.
+// startOwner returns an owner with a new roster and a running library. The caller starts its goroutine (run).
 func startOwner(s *shared) (*owner, error) {
 	var err error
 	if s.addr, err = advertisedAddr(&s.cfg, s.transport); err != nil {
@@ -72,7 +73,7 @@
 	return o, o.startInstance(id)
 }
 
-// run is the owner's goroutine.
+// run executes commands and rounds until the group is closed.
 func (o *owner) run() {
 	defer close(o.ownerDone)
 	timer := time.NewTimer(0)
@@ -92,7 +93,7 @@
 	}
 }
 
-// pause returns how long the owner waits if nothing wakes it.
+// pause returns the time until the next round, unless the owner is woken earlier.
 func (o *owner) pause() time.Duration {
 	pause := max(o.viewNotifiedAt+viewInterval-o.now(), minOwnerPause)
 	if o.hasLeft.Load() {
@@ -114,24 +115,24 @@
 // scanDue reports whether to scan all members.
 func (o *owner) scanDue(now time.Duration) bool {
 	elapsed := now - o.lastScan
-	timed := o.hasSharedNames || o.startRaise.laterSince > 0 // these depend on time alone
+	timed := o.hasSharedNames || o.startRaise.laterSince > 0 // both change by the passing of time alone
 	return o.scanNeeded && elapsed >= o.scanPause() || timed && elapsed >= viewInterval-viewIntervalSlack
 }
 
-// scanNow is a round with a scan, whenever the last one was.
+// scanNow runs a round that includes a scan, regardless of the time of the last one.
 func (o *owner) scanNow() {
 	o.lastScan = neverScanned
 	o.runRound()
 }
 
-// runRound is one round of the owner: it handles all that has arrived, and acts on it.
+// runRound handles the changes and messages that have arrived, and publishes the resulting view.
 func (o *owner) runRound() {
 	if o.hasLeft.Load() {
 		return
 	}
 	now := o.now()
 	messages := o.received.take()
-	// First, so that what the library reports before a message does is not broadcast.
+	// Before the messages, so that processes that the library has already reported are not broadcast.
 	o.applyNodeChanges(now)
 	for _, m := range messages {
 		o.handleMessage(now, m)
@@ -145,10 +146,10 @@
 	o.restartInstance()
 	o.requestAcks(now)
 	o.publish(now)
-	o.sendAcks() // after the members they count were published
+	o.sendAcks() // after publish: the view must count a process before it is acknowledged
 }
 
-// applyNodeChanges takes over the failure detector's verdicts.
+// applyNodeChanges applies the failure detector's changes to the reachable nodes and the roster.
 func (o *owner) applyNodeChanges(now time.Duration) {
 	i := o.current.Load()
 	if i != o.observedInstance {
@@ -177,7 +178,7 @@
 	}
 }
 
-// addJoinedNode adds a node that has become reachable to the roster, if there is room for it.
+// addJoinedNode adds a node that has become reachable to the roster, unless the roster is full.
 func (o *owner) addJoinedNode(now time.Duration, id roster.ID, n *aliveNode) {
 	entries := o.limitEntries([]roster.Entry{{Name: id.Name, Start: id.Start, Addr: n.addr, Observer: n.meta.Observer}})
 	if o.merge(now, entries...); len(entries) > 0 {
@@ -185,9 +186,10 @@
 	}
 }
 
+// idOf returns the identity of an entry's process.
 func idOf(e roster.Entry) roster.ID { return roster.ID{Name: e.Name, Start: e.Start} }
 
-// removedEntry is the entry that proves a process gone.
+// removedEntry returns an entry with a proof that a process has ended.
 func removedEntry(id roster.ID, proof roster.Proof) roster.Entry {
 	return roster.Entry{Name: id.Name, Start: id.Start, Gone: id.Start, Proof: proof}
 }
--- a/internal/membership/owner_acks.go
+++ b/internal/membership/owner_acks.go
@@ -1,6 +1,6 @@
 package membership
 
-// This file requests and sends acknowledgements, and decides when to exchange all knowledge with another process.
+// This file requests and sends acknowledgements, and schedules push/pulls with processes whose digests differ.
 
 import (
 	"math/rand/v2"
@@ -12,49 +12,51 @@
 const (
 	// ackRequestInterval is how often a joining process requests the missing acknowledgements.
 	ackRequestInterval = 200 * time.Millisecond
-	// forcedAckRequestInterval is the same for a process that was admitted by timeout (Forced).
+	// forcedAckRequestInterval replaces ackRequestInterval for a process that was admitted by timeout (Forced).
 	forcedAckRequestInterval = time.Second
 
-	// maxAckRequests is how many processes are requested at a time.
+	// maxAckRequests is the number of acknowledgements requested at a time.
 	maxAckRequests = 16
-	// ackRequestFraction: if the last answers matched, one in so many reachable members may be requested at a time.
+	// ackRequestFraction raises maxAckRequests to 1/ackRequestFraction of the reachable members while digests match.
 	ackRequestFraction = 5
-	// reducedAckRequests is how many are requested while most answers differ: it is too early to request more.
+	// reducedAckRequests replaces maxAckRequests while most digests differ, as it is too early for more
+	// requests to succeed.
 	reducedAckRequests = 4
 )
 
-// Pauses between two exchanges with processes whose knowledge differs. An exchange is a push/pull and costs the more the
-// larger the fleet is, and while many processes join all of them differ for a moment.
+// Pauses between two exchanges with processes whose digests differ. An exchange is a push/pull, whose cost grows with
+// the fleet, and while many processes join, all digests differ for a short time.
 const (
 	// minExchangePause is the pause after the first exchange.
 	minExchangePause = 500 * time.Millisecond
-	// maxExchangePause bounds the pause, which grows while answers differ.
+	// maxExchangePause bounds the pause, which grows while digests differ.
 	maxExchangePause = 8 * time.Second
 	// forcedExchangePause is the pause of a process that was admitted by timeout (Forced).
 	forcedExchangePause = 10 * time.Second
-	// exchangePauseFleet is the fleet size from which on the shortest pause grows with the fleet.
+	// exchangePauseFleet is the number of reachable members above which the shortest pause grows with that number.
 	exchangePauseFleet = 400
-	// exchangeQuietTime is how long the roster must be unchanged before an exchange.
+	// exchangeQuietTime is the time for which the roster must be unchanged before an exchange.
 	exchangeQuietTime = 20 * time.Millisecond
-	// maxExchangeDelay is how long changes of the roster may delay an exchange.
+	// maxExchangeDelay bounds the time for which changes of the roster delay an exchange.
 	maxExchangeDelay = 500 * time.Millisecond
 )
 
-// ackProgress follows the acknowledgements that this process needs to be admitted.
+// ackProgress tracks the acknowledgements that this process needs to be admitted.
 type ackProgress struct {
-	missing     bool // somebody has not acknowledged this process
+	missing     bool // some process has not acknowledged this one
 	lastRequest time.Duration
-	// Answers since the last request, by whether their digest matched.
+	// Numbers of acknowledgements since the last request whose digest matched or differed.
 	matching, differing int
 }
 
-// exchangeSchedule decides when to exchange all knowledge with a process whose digest differs.
+// exchangeSchedule limits the rate of push/pulls with processes whose digests differ.
 type exchangeSchedule struct {
-	wantedSince time.Duration // 0: no exchange is wanted
-	notBefore   time.Duration
-	pause       time.Duration // the mean pause after the next one
+	wantedSince time.Duration // time of the first differing digest or of the last exchange; 0 means that digests match
+	notBefore   time.Duration // earliest time of the next exchange
+	pause       time.Duration // mean pause after the last exchange
 }
 
+// handleAck records an acknowledgement. If its digest differs, it requests a push/pull with the process that sent it.
 func (o *owner) handleAck(now time.Duration, by roster.ID, digest uint64) {
 	if o.roster.Acknowledged(by, digest) {
 		o.acks.matching++
@@ -67,8 +69,8 @@
 	}
 }
 
-// requestExchange has the joiner exchange all knowledge with another process, if it is time. While many join, broadcasts
-// bring most processes together, so it waits for the roster to be quiet.
+// requestExchange requests a push/pull with another process from the joiner, unless the last one was too recent. While
+// many processes join, broadcasts resolve most differences, so it also waits until the roster no longer changes.
 func (o *owner) requestExchange(now time.Duration, addr string) {
 	schedule := &o.exchange
 	if schedule.wantedSince == 0 {
@@ -81,7 +83,7 @@
 	}
 	select {
 	case o.exchanges <- exchangeRequest{addr}:
-	default: // another request waits, whose exchange may be enough
+	default: // another request is pending, whose exchange may resolve the difference
 		return
 	}
 	schedule.wantedSince = now
@@ -93,7 +95,7 @@
 	}
 }
 
-// requestAcks asks processes that have not acknowledged this one to do so, if it is time.
+// requestAcks requests the missing acknowledgements, if the interval between two requests has passed.
 func (o *owner) requestAcks(now time.Duration) {
 	interval := ackRequestInterval
 	if o.view.Load().Forced {
@@ -118,7 +120,7 @@
 	}
 }
 
-// ackRequestLimit returns how many processes to request at a time.
+// ackRequestLimit returns the number of acknowledgements to request now.
 func (o *owner) ackRequestLimit() int {
 	switch {
 	case o.acks.differing > o.acks.matching:
@@ -129,10 +131,11 @@
 	return maxAckRequests
 }
 
-// sendAcks acknowledges the processes that requested it. The published view counts them by then.
+// sendAcks sends the requested acknowledgements. It must run after publish, as the view must count those processes.
 func (o *owner) sendAcks() {
 	for _, e := range o.ackRequests {
-		ack := message{Kind: kindAck, Sender: processID(o.roster.Self()), Acknowledged: processID(idOf(e)), Digest: o.roster.Digest()}
+		ack := message{Kind: kindAck, Sender: processID(o.roster.Self()), Acknowledged: processID(idOf(e)),
+			Digest: o.roster.Digest()}
 		o.send(o.current.Load(), idOf(e), e.Addr, ack.bytes())
 	}
 	o.ackRequests = nil
--- a/internal/membership/owner_identity.go
+++ b/internal/membership/owner_identity.go
@@ -1,6 +1,6 @@
 package membership
 
-// This file changes the incarnation under which this process is known, and finds addresses that were reused.
+// This file changes this process's incarnation, and removes members whose addresses are reused by other processes.
 
 import (
 	"fmt"
@@ -10,24 +10,24 @@
 )
 
 const (
-	// maxRestartLeaveTime bounds the library's broadcast that the old incarnation leaves.
+	// maxRestartLeaveTime bounds the time for the library's leave broadcast of the old incarnation.
 	maxRestartLeaveTime = 300 * time.Millisecond
 
-	// A process raises its start at most maxStartRaises times, and only within startRaiseWindow intervals after it first
-	// reached another member. The process with the later start must have been unreachable for startRaiseDelay intervals.
+	// A process raises its start at most maxStartRaises times, and only within startRaiseWindowIntervals after it first
+	// reached another member. The process with the later start must have been unreachable for startRaiseDelayIntervals.
 	maxStartRaises            = 3
 	startRaiseWindowIntervals = 60
 	startRaiseDelayIntervals  = 5
 )
 
-// startRaise follows processes of this one's name with a later start (see owner.raiseStart).
+// startRaise is the state of owner.raiseStart.
 type startRaise struct {
-	count            int
-	firstReachableAt time.Duration // when another process was first reachable; 0: none was
-	laterSince       time.Duration // since when an unreachable process with a later start is known; 0: none is
+	count            int           // raises so far
+	firstReachableAt time.Duration // time at which another process was first reachable; 0 means never
+	laterSince       time.Duration // time since which an unreachable process with a later start is known; 0 means none
 }
 
-// startInstance starts the library under an identity.
+// startInstance starts the library as the given incarnation of this process.
 func (o *owner) startInstance(id roster.ID) error {
 	m := o.meta
 	m.Start = id.Start
@@ -42,14 +42,14 @@
 	}
 	if i.addr() == "" {
 		i.shutdown()
-		return fmt.Errorf("the node %s at %s was refused", nodeName(id), o.addr)
+		return fmt.Errorf("start node %s: address %s rejected", nodeName(id), o.addr)
 	}
 	o.current.Store(i)
 	return nil
 }
 
-// removeReplaced proves a process gone if another one has its address: a later one of its name, or one of another name
-// while the process is unreachable. Of processes of different names the starts prove nothing, as their clocks differ.
+// removeReplaced removes processes whose address another process uses: one of the same name with a later start, or one
+// of another name while the process is unreachable. Starts of different names are not compared, as clocks differ.
 func (o *owner) removeReplaced(now time.Duration) {
 	self := o.roster.Self()
 	owners := map[string]roster.ID{o.addr: self} // by address
@@ -71,9 +71,10 @@
 	}
 }
 
-// raiseStart gives this process a start above that of an earlier process of its name that has ended, which happens when
-// the wall clock was set back. Only a process that joined lately does so: to one that has been there for long, the later
-// start is its own upgrade, which is cut off.
+// raiseStart takes a new incarnation with a start above that of an earlier process of the same name that has ended. The
+// earlier process has the later start if the wall clock was set back. Only a process that has joined recently raises
+// its start: for a long-running one, the process with the later start is its successor in an upgrade, cut off by a
+// partition.
 func (o *owner) raiseStart(now time.Duration) {
 	if o.startRaise.firstReachableAt == 0 && len(o.reachable) > 0 {
 		o.startRaise.firstReachableAt = now
@@ -86,14 +87,16 @@
 	if o.startRaise.laterSince == 0 {
 		o.startRaise.laterSince = now
 	}
-	mayRaise := o.startRaise.count < maxStartRaises && now-o.startRaise.firstReachableAt <= startRaiseWindowIntervals*o.cfg.Interval
-	hasEnded := !later.Present() || later.Addr == o.addr || now-o.startRaise.laterSince >= startRaiseDelayIntervals*o.cfg.Interval
+	mayRaise := o.startRaise.count < maxStartRaises &&
+		now-o.startRaise.firstReachableAt <= startRaiseWindowIntervals*o.cfg.Interval
+	hasEnded := !later.Present() || later.Addr == o.addr ||
+		now-o.startRaise.laterSince >= startRaiseDelayIntervals*o.cfg.Interval
 	if !mayRaise || !hasEnded {
 		return
 	}
 	self := o.roster.Self()
 	o.startRaise.count++
-	o.log.Warn("members: the start is raised, as an earlier process has a later one; the clock was set back",
+	o.log.Warn("members: raised the start above that of an earlier process of the same name, as the clock was set back",
 		"name", self.Name, "start", self.Start, "earlier_start", later.Start)
 	o.merge(now, removedEntry(self, roster.ProofAddressReused))
 	o.startRaise.laterSince = 0
@@ -111,16 +114,16 @@
 	return roster.Entry{}, false
 }
 
-// resolveConflict gives this process a new incarnation if another process has the same name and start.
+// resolveConflict takes a new incarnation if another process has the same name and start.
 func (o *owner) resolveConflict(now time.Duration) {
 	if self := o.roster.Self(); o.current.Load().takeConflict() {
-		o.log.Warn("members: another process has the same name and start", "name", self.Name, "start", self.Start)
+		o.log.Warn("members: found another process with the same name and start", "name", self.Name, "start", self.Start)
 		o.merge(now, removedEntry(self, roster.ProofAddressReused))
 	}
 }
 
-// restartInstance starts the library anew if this process was proved gone and has a new incarnation. The old node
-// leaves first, so that it is not taken for a duplicate.
+// restartInstance restarts the library if this process was removed and has a new incarnation. The old node leaves
+// first, so that it is not reported as a duplicate.
 func (o *owner) restartInstance() {
 	id, oldInstance := o.roster.Self(), o.current.Load()
 	if id == oldInstance.id {
@@ -128,22 +131,22 @@
 	}
 	if !oldInstance.transport.closed.Load() {
 		o.counters.startsRaised.Add(1)
-		o.log.Warn("members: proved gone while running; joins again", "name", id.Name, "start", id.Start,
+		o.log.Warn("members: removed while running, rejoining with a new start", "name", id.Name, "start", id.Start,
 			"earlier_start", oldInstance.id.Start)
-		o.publish(o.now()) // it gives up its quota first
+		o.publish(o.now()) // gives up the quota before the new incarnation joins
 		if len(o.reachable) > 0 {
-			_ = oldInstance.library.Leave(maxRestartLeaveTime) // the others notice without it, only later
+			_ = oldInstance.library.Leave(maxRestartLeaveTime) // on failure the other members detect it, only later
 		}
 		oldInstance.shutdown()
 	}
 	if err := o.startInstance(id); err != nil {
-		o.log.Warn("members: join again failed", "err", err) // the next round attempts it again
+		o.log.Warn("members: rejoin failed", "err", err) // the next round retries
 		return
 	}
 	wakeUp(o.joinWake)
 	for _, n := range o.reachable {
 		select {
-		case o.exchanges <- exchangeRequest{n.addr}: // any one of them knows the others
+		case o.exchanges <- exchangeRequest{n.addr}: // one is enough, as each of them knows the others
 		default:
 		}
 		break
--- a/internal/membership/owner_messages.go
+++ b/internal/membership/owner_messages.go
@@ -1,6 +1,6 @@
 package membership
 
-// This file handles messages of other processes, and sends and broadcasts the owner's.
+// This file handles messages from other processes, and sends and broadcasts the owner's messages.
 
 import (
 	"slices"
@@ -12,13 +12,14 @@
 )
 
 const (
-	// maxBroadcasts bounds the entries that wait to be broadcast. Push/pull carries those that are pruned.
+	// maxBroadcasts bounds the number of queued broadcasts. Push/pulls carry the entries that are pruned.
 	maxBroadcasts = 1024
-	// broadcastDelayIntervals is for how many intervals an entry that came in a message waits for the library to report
-	// the same, before it is broadcast.
+	// broadcastDelayIntervals is the time, in intervals, after which an entry received in a message is broadcast unless
+	// the library has reported the process by then.
 	broadcastDelayIntervals = 2
 )
 
+// handleMessage merges the entries of a message and handles acknowledgements and requests for them.
 func (o *owner) handleMessage(now time.Duration, m message) {
 	o.merge(now, o.limitEntries(m.rosterEntries())...)
 	by := roster.ID(m.Sender)
@@ -34,8 +35,8 @@
 	}
 }
 
-// limitEntries leaves out entries of unknown processes that do not fit into the roster. A sender may invent any number of
-// them.
+// limitEntries drops entries of unknown processes once the roster has maxEntries processes. Otherwise a sender could
+// fill the memory with invented processes.
 func (o *owner) limitEntries(entries []roster.Entry) []roster.Entry {
 	knownCount := o.roster.Len()
 	if knownCount+len(entries) <= maxEntries {
@@ -56,8 +57,9 @@
 	})
 }
 
-// merge merges entries into the roster. It broadcasts new proofs at once. That a process is present the library
-// broadcasts itself, if it has reported it here; an entry that only messages carry waits for that.
+// merge merges entries into the roster and broadcasts those that carry new proofs. The library itself broadcasts
+// present processes that it has reported. Other present processes are delayed until it reports them (see
+// broadcastPending).
 func (o *owner) merge(now time.Duration, entries ...roster.Entry) {
 	changed := o.roster.Merge(now, entries...)
 	for _, e := range changed {
@@ -68,7 +70,7 @@
 			o.pendingBroadcasts[id] = now
 		}
 		if o.status.members[id] != nil && !e.Present() {
-			o.log.Info("members: gone", "name", e.Name, "start", e.Gone, "proof", proofText(e.Proof))
+			o.log.Info("members: member removed", "name", e.Name, "start", e.Gone, "proof", proofText(e.Proof))
 		}
 	}
 	if len(changed) > 0 {
@@ -77,7 +79,7 @@
 	}
 }
 
-// broadcastPending broadcasts the entries that the library did not report in time.
+// broadcastPending broadcasts the processes that the library did not report within broadcastDelayIntervals.
 func (o *owner) broadcastPending(now time.Duration) {
 	for id, since := range o.pendingBroadcasts {
 		if now-since < broadcastDelayIntervals*o.cfg.Interval && o.reachable[id] == nil {
@@ -90,7 +92,7 @@
 	}
 }
 
-// entries returns all entries of the roster, and keeps what a push/pull says in step with them.
+// entries returns all entries of the roster, and updates the cached push/pull message if the roster has changed.
 func (o *owner) entries() []roster.Entry {
 	return o.pushPull.get(func() *pushPullState {
 		s := &pushPullState{entries: o.roster.Entries()}
@@ -103,7 +105,7 @@
 	}).entries
 }
 
-// reportedByLibrary reports whether the library's list of nodes tells others all that the entry does.
+// reportedByLibrary reports whether the library's own list of nodes carries all the information of an entry.
 func (o *owner) reportedByLibrary(e roster.Entry) bool {
 	if !e.Present() {
 		return false
@@ -115,13 +117,15 @@
 	return n != nil && !n.suspected && n.addr == e.Addr
 }
 
+// broadcast queues an entry to be broadcast.
 func (o *owner) broadcast(e roster.Entry) {
 	text := encodeEntries(kindEntries, e).bytes()
 	o.broadcasts.QueueBroadcast(&entryBroadcast{node: nodeName(idOf(e)), text: text})
 	o.broadcasts.Prune(maxBroadcasts)
 }
 
-// send sends a message to a process in one packet. Packets get lost; every kind of message is repeated while it matters.
+// send sends a message to a process in one packet. Packets may be lost, so the senders of each kind of message repeat
+// it as long as it is needed.
 func (o *owner) send(i *instance, to roster.ID, addr string, text []byte) {
 	err := i.library.SendToAddress(memberlist.Address{Addr: addr, Name: nodeName(to)}, text)
 	if err != nil {
@@ -129,6 +133,7 @@
 	}
 }
 
+// sendToReachable sends a message to all reachable members.
 func (o *owner) sendToReachable(i *instance, text []byte) {
 	for id, n := range o.reachable {
 		o.send(i, id, n.addr, text)
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// probesPerInterval bounds the calls of the prober. The other members call, too.
+	// probesPerInterval bounds the rate of the prober's calls. It need not be high, as the other members probe as well.
 	probesPerInterval = 10
 	maxProbePause     = 30 * time.Second
-	// probeIdleTime is how long the prober waits if no probe is scheduled and nothing wakes it.
+	// probeIdleTime is the time that the prober waits if no probe is scheduled.
 	probeIdleTime = time.Minute
-	// minProbeTimeout bounds a call from below where the interval is short.
+	// minProbeTimeout is the shortest timeout of a call, which applies if the interval is shorter.
 	minProbeTimeout = 100 * time.Millisecond
 )
 
-// prober calls the addresses of unreachable members. A refused connection proves a process gone: its host is up and
-// no process listens. Nothing else proves anything.
+// prober opens connections to the addresses of unreachable members. A refused connection proves that a process has
+// ended, as its host is up and no process listens. No other result is a proof.
 type prober struct {
 	*shared
 	scheduled map[roster.ID]*scheduledProbe
 	limiter   *rate.Limiter
 }
 
-// scheduledProbe is the next call of one unreachable member.
+// scheduledProbe is the next probe of one unreachable member.
 type scheduledProbe struct {
 	at    time.Time
 	pause *backoff.ExponentialBackOff
@@ -43,7 +43,7 @@
 	return &prober{shared: s, scheduled: map[roster.ID]*scheduledProbe{}, limiter: limiter}
 }
 
-// run is the prober's goroutine.
+// run probes unreachable members until this process leaves or the group is closed.
 func (p *prober) run() {
 	if !p.cfg.TrustRefused {
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-// probeDueMembers calls the unreachable members whose time has come, and returns the time of the next call.
+// probeDueMembers probes the unreachable members whose probe is due, and returns the time of the next probe.
 func (p *prober) probeDueMembers() time.Time {
 	unreachable := p.probeTargets()
 	for id := range p.scheduled {
@@ -80,7 +80,7 @@
 			probe = p.newScheduledProbe()
 			p.scheduled[id] = probe
 		}
-		if !time.Now().Before(probe.at) && p.limiter.Allow() { // else it is called in the next round
+		if !time.Now().Before(probe.at) && p.limiter.Allow() { // otherwise the next round probes it
 			if p.connectionRefused(e.Addr) {
 				_ = p.runOnOwner(p.ctx, recordConnectionRefused{id}) // fails only if the owner has ended
 			}
@@ -93,7 +93,8 @@
 	return next
 }
 
-// newScheduledProbe schedules the first call of a member at a random time, so that not all members call it at once.
+// newScheduledProbe schedules the first probe of a member at a random time, so that the members do not all probe it at
+// once.
 func (p *prober) newScheduledProbe() *scheduledProbe {
 	wait := time.Duration(rand.Int64N(2 * int64(p.cfg.Interval)))
 	pause := backoff.NewExponentialBackOff()
@@ -101,7 +102,7 @@
 	return &scheduledProbe{at: time.Now().Add(wait), pause: pause}
 }
 
-// probeTargets returns the unreachable members whose address proves something if it refuses connections.
+// probeTargets returns the unreachable members for which a refused connection is a proof.
 func (p *prober) probeTargets() map[roster.ID]roster.Entry {
 	targets := map[roster.ID]roster.Entry{}
 	for _, e := range p.peers.Load().unreachable {
@@ -112,8 +113,8 @@
 	return targets
 }
 
-// isProbeTarget is false for this process's own address, and for a loopback address if this process has another: that one
-// is of another host.
+// isProbeTarget reports whether a connection refused by an address is a proof. It is none for this process's own
+// address, nor for a loopback address if this process's own is not one: the member is then on another host.
 func (p *prober) isProbeTarget(addr string) bool {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil || addr == p.addr {
@@ -123,7 +124,7 @@
 	return err == nil && (!at.Addr().IsLoopback() || own.Addr().IsLoopback())
 }
 
-// connectionRefused reports whether an address connectionRefused connections.
+// connectionRefused dials an address and reports whether it refuses connections.
 func (p *prober) connectionRefused(addr string) bool {
 	if p.ctx.Err() != nil {
 		return false
--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -10,21 +10,21 @@
 	"marblelane/internal/membership/roster"
 )
 
-// reportTimeout is how long a report waits for the owner.
+// reportTimeout bounds the time that Report waits for the owner.
 const reportTimeout = 100 * time.Millisecond
 
-// MemberState is the state of a process as another one sees it. The texts are part of the wire form.
+// MemberState is the state of a process as seen by another one. The values are part of the wire format.
 type MemberState string
 
 // The states of a member.
 const (
 	Alive       MemberState = "alive"
-	Suspected   MemberState = "suspected" // it did not answer, and may refute the suspicion
-	Unreachable MemberState = "silent"    // dead by the failure detector, but not proved gone: it counts
-	Removed     MemberState = "gone"      // proved gone
+	Suspected   MemberState = "suspected" // did not acknowledge a probe, and may still refute the suspicion
+	Unreachable MemberState = "silent"    // declared dead by the failure detector, but not proved to have ended; counted
+	Removed     MemberState = "gone"      // proved to have ended; not counted
 )
 
-// Member is one process as another one sees it.
+// Member is the state of one process as seen by another one.
 type Member struct {
 	Name        string      `json:"name"`
 	Start       int64       `json:"start"`
@@ -33,30 +33,30 @@
 	Role        string      `json:"role,omitempty"`
 	Version     string      `json:"version,omitempty"`
 	State       MemberState `json:"state"`
-	Proof       string      `json:"proof,omitempty"` // why it is known to be gone: the text of a roster.Proof
-	SinceMS     int64       `json:"since_ms"`        // how long it has been in State
-	LastAliveMS int64       `json:"heard_ms"`        // time since it was last alive; -1: never
-	Duplicate   bool        `json:"twin,omitempty"`  // another process of its name has been alive with it for long
+	Proof       string      `json:"proof,omitempty"` // why State is Removed: the text of a roster.Proof
+	SinceMS     int64       `json:"since_ms"`        // time since State changed, in ms
+	LastAliveMS int64       `json:"heard_ms"`        // time since the process was last alive, in ms; -1 means never
+	Duplicate   bool        `json:"twin,omitempty"`  // alive together with another process of its name for 10 s or more
 }
 
-// Report is what one process sees of its fleet. GET /members answers it.
+// Report is the state of the fleet as seen by one process. GET /members returns it.
 type Report struct {
 	Self    roster.ID   `json:"self"`
 	Fleet   string      `json:"fleet"`
 	UnixMS  int64       `json:"unix_ms"`
 	View    roster.View `json:"view"`
-	Changes uint64      `json:"changes"` // changes of the view or of a member's state
-	Dropped uint64      `json:"dropped"` // packets, streams, messages and nodes that were dropped
-	// EstimatedSize is the fleet's size that the balancer goes by; 0 where there is no balancer.
+	Changes uint64      `json:"changes"` // number of changes of the view or of a member's state
+	Dropped uint64      `json:"dropped"` // number of dropped packets, streams, messages and nodes
+	// EstimatedSize is the balancer's estimate of the fleet's size; 0 if the process has no balancer.
 	EstimatedSize float64  `json:"believed"`
-	Members       []Member `json:"members"` // by name and start, this process included
+	Members       []Member `json:"members"` // sorted by name and start, this process included
 }
 
-// Report returns all that this process sees now, or what it saw last if the owner is busy.
+// Report returns the current state of the fleet as seen by this process, or the last scanned one if the owner is busy.
 func (g *Group) Report() Report {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	_ = g.runOnOwner(ctx, refreshStatus{}) // the last state is good enough
+	_ = g.runOnOwner(ctx, refreshStatus{}) // on failure the last scanned state is reported
 	r := Report{Fleet: g.cfg.Fleet, Self: g.current.Load().id, UnixMS: time.Now().UnixMilli(),
 		Dropped: g.counters.totalDrops(), View: g.View()}
 	if g.cfg.EstimatedSize != nil {
@@ -66,7 +66,7 @@
 	return r
 }
 
-// addMembers adds the members to a report.
+// addMembers sets the members of a report.
 func (t *statusTable) addMembers(r *Report, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,7 +82,7 @@
 	})
 }
 
-// toMember returns the status in the form of a report.
+// toMember converts a status for a report.
 func (m *memberStatus) toMember(id roster.ID, now time.Duration) Member {
 	member := Member{Name: id.Name, Start: id.Start, Addr: m.addr, State: m.state, SinceMS: (now - m.since).Milliseconds(),
 		LastAliveMS: -1, Duplicate: m.duplicate}
@@ -100,7 +100,7 @@
 	return member
 }
 
-// proofText returns a proof's text in reports.
+// proofText returns the text of a proof in reports and logs.
 func proofText(p roster.Proof) string {
 	switch p {
 	case roster.ProofNone:
@@ -114,5 +114,5 @@
 	case roster.ProofLeft:
 		return "left"
 	}
-	return "proof-" + strconv.Itoa(int(p)) // of a newer program
+	return "proof-" + strconv.Itoa(int(p)) // a proof that a newer version of the program has added
 }
--- a/internal/membership/stats.go
+++ b/internal/membership/stats.go
@@ -6,16 +6,16 @@
 	"sync/atomic"
 )
 
-// counters count since Open.
+// counters holds the counters behind Stats.
 type counters struct {
-	startsRaised atomic.Uint64 // starts raised after this process was proved gone
-	failedJoins  atomic.Uint64
+	startsRaised atomic.Uint64 // new incarnations after this process was removed while running
+	failedJoins  atomic.Uint64 // failed exchanges with a seed or an unreachable member
 
 	mu    sync.Mutex
-	drops map[string]uint64 // by reason
+	drops map[string]uint64 // number of drops by reason
 }
 
-// countDrop counts a packet, stream, message or node that was dropped. It may be called under the library's locks.
+// countDrop counts a dropped packet, stream, message or node. It may be called under the library's locks.
 func (c *counters) countDrop(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,9 +39,9 @@
 	return total
 }
 
-// Stats are counts since Open, beside those of Report.
+// Stats holds counts since Open in addition to those of Report.
 type Stats struct {
-	StartsRaised uint64            // starts raised after this process was proved gone
+	StartsRaised uint64            // new incarnations after this process was removed while running
 	FailedJoins  uint64            // failed exchanges with a seed or an unreachable member
 	Dropped      map[string]uint64 // dropped packets, streams, messages and nodes, by reason
 }
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -1,6 +1,6 @@
 package membership
 
-// This file keeps the state of each process as the owner sees it, and publishes what changed.
+// This file maintains the state of each process as seen by this one, and publishes its changes.
 
 import (
 	"maps"
@@ -10,15 +10,15 @@
 	"marblelane/internal/membership/roster"
 )
 
-// duplicateAfter is how long two processes of one name are alive together before they are reported as duplicates. An
-// upgrade takes less.
+// duplicateAfter is the time for which two processes of the same name must be alive together to be reported as
+// duplicates. The overlap in an upgrade is shorter.
 const duplicateAfter = 10 * time.Second
 
-// statusTable is the state of each known process. Only the owner changes it, under the lock; others read it under the
-// lock.
+// statusTable holds the state of each known process. Only the owner changes it, under the lock. Other goroutines read
+// it under the lock.
 type statusTable struct {
 	mu         sync.Mutex
-	changed    chan struct{} // closed at a change
+	changed    chan struct{} // closed and replaced at each change
 	changes    uint64
 	members    map[roster.ID]*memberStatus
 	self       roster.ID // zero before the first scan
@@ -28,24 +28,24 @@
 // memberStatus is the state of one process.
 type memberStatus struct {
 	state      MemberState
-	since      time.Duration // of state
-	aliveSince time.Duration // if it is alive
-	lastAlive  time.Duration // if it is not alive; negative: it never was
+	since      time.Duration // time of the last change of state
+	aliveSince time.Duration // time since which it is alive; valid only if it is alive
+	lastAlive  time.Duration // time until which it was alive; valid only if it is not alive; negative means never
 	duplicate  bool
-	meta       *meta // nil: never received
+	meta       *meta // nil if none was received
 	addr       string
 	proof      roster.Proof
-	lastScan   uint64 // number of the last scan that found it
+	lastScan   uint64 // number of the last scan that found the process
 }
 
-// alive reports whether the failure detector counts the process as alive.
+// alive reports whether the failure detector holds the process alive or merely suspects it.
 func (m *memberStatus) alive() bool { return m.state == Alive || m.state == Suspected }
 
 func newStatusTable() *statusTable {
 	return &statusTable{changed: make(chan struct{}), members: map[roster.ID]*memberStatus{}}
 }
 
-// notifyChange counts a change and wakes those that wait for it.
+// notifyChange counts a change and wakes the goroutines that wait for one.
 func (t *statusTable) notifyChange() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,8 +61,8 @@
 	return t.changed
 }
 
-// publish updates the view and, if a scan is due, the state of all members. It calls Config.ViewChanged at a change and
-// once in viewInterval.
+// publish updates the view and, if a scan is due, the state of all members. It calls Config.ViewChanged at each change
+// and at least once in viewInterval.
 func (o *owner) publish(now time.Duration) {
 	view := o.roster.View(now)
 	if o.cfg.Defect == DefectNoAdmission && !o.hasLeft.Load() {
@@ -87,7 +87,7 @@
 	}
 }
 
-// publishPeers gives joiner and prober what they go by, and wakes them if there is work.
+// publishPeers publishes the snapshot for the joiner and the prober, and wakes them if there is work.
 func (o *owner) publishPeers() {
 	entries := o.entries()
 	snapshot := &peerSnapshot{unreachable: o.roster.Unreachable(), reachable: make(map[string]bool, len(o.reachable))}
@@ -111,7 +111,7 @@
 	}
 }
 
-// updateStatus scans all processes. It reports whether the state of any has changed.
+// updateStatus scans all processes and reports whether the state of any of them has changed.
 func (o *owner) updateStatus(now time.Duration) bool {
 	t := o.status
 	t.mu.Lock()
@@ -125,7 +125,7 @@
 	for _, e := range entries {
 		changed = o.updateMember(now, idOf(e), e, o.reachable[idOf(e)]) || changed
 	}
-	for id, n := range o.reachable { // nodes that do not fit into the roster
+	for id, n := range o.reachable { // nodes that the full roster has not accepted
 		if !t.foundInScan(id) {
 			unknown := roster.Entry{Name: id.Name, Start: id.Start}
 			changed = o.updateMember(now, id, unknown, n) || changed
@@ -143,13 +143,13 @@
 	return o.updateDuplicates(now, entries) || changed
 }
 
-// foundInScan reports whether the current scan has found a process.
+// foundInScan reports whether the current scan has already found a process.
 func (t *statusTable) foundInScan(id roster.ID) bool {
 	m := t.members[id]
 	return m != nil && m.lastScan == t.scanNumber
 }
 
-// stateOf derives a process's state from its entry and its node, which is nil if it is not alive.
+// stateOf derives the state of a process from its entry and its node. The node is nil if it is not alive.
 func (o *owner) stateOf(e roster.Entry, n *aliveNode) MemberState {
 	switch {
 	case !e.Present():
@@ -164,7 +164,7 @@
 	return Alive
 }
 
-// updateMember records what the current scan found of one process. It reports whether that has changed.
+// updateMember records the state of one process in the current scan and reports whether it has changed.
 func (o *owner) updateMember(now time.Duration, id roster.ID, e roster.Entry, n *aliveNode) bool {
 	t := o.status
 	m := t.members[id]
@@ -197,8 +197,8 @@
 	return changed
 }
 
-// updateDuplicates finds the processes of one name that have been alive together for long. It reports whether that has
-// changed. The entries are sorted by name.
+// updateDuplicates marks the processes of the same name that have been alive together for duplicateAfter, and reports
+// whether any mark has changed. The entries must be sorted by name.
 func (o *owner) updateDuplicates(now time.Duration, entries []roster.Entry) bool {
 	changed := false
 	o.hasSharedNames = false
@@ -216,6 +216,7 @@
 	return changed
 }
 
+// updateDuplicatesOfName is updateDuplicates for the processes of one name.
 func (o *owner) updateDuplicatesOfName(now time.Duration, sameName []roster.Entry) bool {
 	alive, longAlive := 0, 0
 	for _, e := range sameName {
@@ -236,7 +237,7 @@
 		}
 		m.duplicate, changed = duplicate, true
 		if duplicate {
-			o.log.Warn("members: two processes of one name run side by side", "name", e.Name, "start", e.Start)
+			o.log.Warn("members: duplicate processes with the same name are alive", "name", e.Name, "start", e.Start)
 		}
 	}
 	return changed
--- a/internal/membership/units_test.go
+++ b/internal/membership/units_test.go
@@ -68,7 +68,7 @@
 		}{{&m.Name, maxNameBytes}, {&m.Zone, maxZoneBytes}, {&m.Role, maxRoleBytes}, {&m.Version, maxVersionBytes}} {
 			*d.target = rapid.StringOfN(letter, 1, -1, d.maxBytes).Draw(t, "text")
 		}
-		text, err := m.encode() // texts within the bounds fit
+		text, err := m.encode() // texts within the bounds fit into the metadata
 		require.NoError(t, err)
 		back, err := decodeMeta(text)
 		require.NoError(t, err)
@@ -82,14 +82,16 @@
 		return &memberlist.Node{Name: name, Meta: []byte(meta), Addr: net.ParseIP(ip), Port: 1}
 	}
 	for text, n := range map[string]*memberlist.Node{
-		"":               node("a@7", `{"n":"a","s":7,"newer":[1]}`, "10.0.0.1"), // of a newer program, and of an older one
-		"no NAME@START":  node("a@07", `{"n":"a","s":7}`, "10.0.0.1"),
-		"says of itself": node("b@7", `{"n":"a","s":7}`, "10.0.0.1"),
-		"none of the":    node("a@7", `{"n":"a","s":7}`, "11.0.0.1"),
-		"no address":     node("a@7", `{"n":"a","s":7}`, "x"),
-		"metadata: ":     node("a@7", `{"n":`, "10.0.0.1"),
-		"more than 512":  node("a@7", `{"n":"a","s":7,"z":"`+strings.Repeat("z", 512)+`"}`, "10.0.0.1"),
-		"not from 0":     node("a@7", `{"n":"a","s":7,"z":"`+strings.Repeat("z", 65)+`"}`, "10.0.0.1"),
+		// Metadata with unknown and missing fields is valid.
+		"": node("a@7", `{"n":"a","s":7,"newer":[1]}`, "10.0.0.1"),
+
+		"not in the form NAME@START": node("a@07", `{"n":"a","s":7}`, "10.0.0.1"),
+		"metadata names":             node("b@7", `{"n":"a","s":7}`, "10.0.0.1"),
+		"outside the allowed":        node("a@7", `{"n":"a","s":7}`, "11.0.0.1"),
+		"address or port is missing": node("a@7", `{"n":"a","s":7}`, "x"),
+		"decode metadata: ":          node("a@7", `{"n":`, "10.0.0.1"),
+		"exceeds the limit of 512":   node("a@7", `{"n":"a","s":7,"z":"`+strings.Repeat("z", 512)+`"}`, "10.0.0.1"),
+		"not from 0":                 node("a@7", `{"n":"a","s":7,"z":"`+strings.Repeat("z", 65)+`"}`, "10.0.0.1"),
 	} {
 		_, err := parsePeer(n, nets)
 		if text == "" {
@@ -191,7 +193,7 @@
 	require.NotContains(t, out.String(), "Suspect")
 }
 
-// countingConn counts the bytes in both directions.
+// countingConn counts the bytes read and written.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -208,8 +210,8 @@
 	return c.Conn.Write(b)
 }
 
-// BenchmarkIdle measures what a member of an idle fleet costs in a second: payload of packets and streams, and CPU time.
-// Each iteration is a minute, in which each member starts one push/pull at least.
+// BenchmarkIdle measures the cost of a member of an idle fleet per second: the payload of packets and streams, and CPU
+// time. Each iteration takes a minute, in which each member starts at least one push/pull.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{10, 50} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -235,7 +237,7 @@
 					time.Sleep(testInterval)
 				}
 			}
-			time.Sleep(95 * time.Second) // broadcasts are over and push/pulls have begun
+			time.Sleep(95 * time.Second) // until broadcasts have ended and push/pulls have begun
 			cpu, bytes := cpuTime(b), sent.Load()
 			b.ResetTimer()
 			for range b.N {
@@ -248,6 +250,7 @@
 	}
 }
 
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -12,8 +12,8 @@
 	"marblelane/internal/membership/roster"
 )
 
-// TestWireForms compares what members and operators exchange with recorded bytes. The files in testdata/wire are the
-// contract with processes of other versions; a change of them is a change of the protocol.
+// TestWireForms compares encoded messages, metadata and reports with recorded bytes. The files in testdata/wire are the
+// contract with processes of other versions. Changing one of them changes the protocol.
 func TestWireForms(t *testing.T) {
 	joining := roster.Entry{Name: "side-1", Start: 1700000000123, Addr: "10.1.0.7:7946"}
 	request := encodeEntries(kindAckRequest, joining)
@@ -53,7 +53,8 @@
 	}
 }
 
-// digests returns a roster's digest while it waits, once it is admitted by timeout, and with two members known.
+// digests returns the digests of a roster that waits for admission, that is admitted by timeout, that knows a second
+// member, and that has its acknowledgement.
 func digests() []uint64 {
 	r := roster.New(0, roster.Options{Self: roster.ID{Name: "side-1", Start: 7}, AdmitWithin: time.Second})
 	all := []uint64{r.Digest()}
