--- a/internal/membership/commands.go
+++ b/internal/membership/commands.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxLeaveTime bounds the library's broadcast that this process leaves.
+	// maxLeaveTime bounds the time for the library's leave broadcast.
 	maxLeaveTime = 2 * time.Second
-	// minLeaveTime is what that broadcast gets at least, if the caller's deadline allows it.
+	// minLeaveTime is the shortest time for that broadcast, unless the caller's deadline is earlier.
 	minLeaveTime = 100 * time.Millisecond
 )
 
@@ -21,13 +21,14 @@
 	execute(o *owner) error
 }
 
+// queuedCommand is a command with the channel for its result.
 type queuedCommand struct {
 	command
 	result chan<- error
 }
 
-// do has the owner execute a command. It fails with net.ErrClosed if the owner has ended.
-func (s *shared) do(ctx context.Context, c command) error {
+// runOnOwner executes a command on the owner's goroutine. It fails with net.ErrClosed if that has ended.
+func (s *shared) runOnOwner(ctx context.Context, c command) error {
 	result := make(chan error, 1)
 	select {
 	case s.commands <- queuedCommand{c, result}:
@@ -39,39 +40,39 @@
 	return <-result // the owner executes each command that it has received
 }
 
-// confirmGone is an operator's word that a process is gone.
-type confirmGone struct{ id roster.ID }
+// removeMember removes a process that an operator has confirmed to have ended.
+type removeMember struct{ id roster.ID }
 
-func (c confirmGone) execute(o *owner) error {
-	if o.left.Load() {
+func (c removeMember) execute(o *owner) error {
+	if o.hasLeft.Load() {
 		return fmt.Errorf("%s@%d: %w", c.id.Name, c.id.Start, net.ErrClosed)
 	}
 	if _, known := o.roster.Find(c.id); !known {
 		return fmt.Errorf("%s@%d: %w", c.id.Name, c.id.Start, ErrUnknownMember)
 	}
-	o.log.Warn("members: an operator confirms that a process is gone", "name", c.id.Name, "start", c.id.Start)
-	o.merge(o.now(), goneEntry(c.id, roster.ProofOperator))
+	o.log.Warn("members: operator confirmed that a process has ended", "name", c.id.Name, "start", c.id.Start)
+	o.merge(o.now(), removedEntry(c.id, roster.ProofOperator))
 	o.scanNow()
 	return nil
 }
 
-// proveConnectionRefused reports that the address of a process refuses connections. It proves the process gone if it is
-// unreachable still.
-type proveConnectionRefused struct{ id roster.ID }
+// recordConnectionRefused records that the address of a process refuses connections. It removes the process if it is
+// still unreachable.
+type recordConnectionRefused struct{ id roster.ID }
 
-func (c proveConnectionRefused) execute(o *owner) error {
+func (c recordConnectionRefused) execute(o *owner) error {
 	now := o.now()
-	o.observeInstance(now)
+	o.applyNodeChanges(now)
 	for _, e := range o.roster.Unreachable() {
 		if idOf(e) == c.id {
-			o.merge(now, goneEntry(c.id, roster.ProofRefused))
+			o.merge(now, removedEntry(c.id, roster.ProofRefused))
 		}
 	}
 	o.scanNow()
 	return nil
 }
 
-// scanMembers has the owner scan all members now.
+// scanMembers scans all members now.
 type scanMembers struct{}
 
 func (scanMembers) execute(o *owner) error {
@@ -79,21 +80,21 @@
 	return nil
 }
 
-// refreshStatus has the owner scan all members if anything has changed since the last scan.
+// refreshStatus scans all members if anything has changed since the last scan.
 type refreshStatus struct{}
 
 func (refreshStatus) execute(o *owner) error {
-	if o.scanNeeded && !o.left.Load() {
+	if o.scanNeeded && !o.hasLeft.Load() {
 		o.scanNow()
 	}
 	return nil
 }
 
-// leaveFleet has this process leave before the context's deadline.
+// leaveFleet makes this process leave the fleet before the deadline of ctx.
 type leaveFleet struct{ ctx context.Context }
 
 func (c leaveFleet) execute(o *owner) error {
-	if o.left.Swap(true) {
+	if o.hasLeft.Swap(true) {
 		return nil
 	}
 	timeout := maxLeaveTime
@@ -101,24 +102,24 @@
 		timeout = max(min(timeout, time.Until(deadline)), time.Millisecond)
 	}
 	i := o.current.Load()
-	left := goneEntry(i.id, roster.ProofLeft)
-	left.Addr, left.Observer = o.addr, o.cfg.Observer
+	entry := removedEntry(i.id, roster.ProofLeft)
+	entry.Addr, entry.Observer = o.addr, o.cfg.Observer
 	o.broadcasts.Reset()
-	o.merge(o.now(), left)
+	o.merge(o.now(), entry)
 	o.lastScan = neverScanned
-	o.publish(o.now()) // it gives up its quota before anybody counts it out
-	text := encodeEntries(kindEntries, left).bytes()
+	o.publish(o.now()) // gives up the quota before the other members remove this process
+	text := encodeEntries(kindEntries, entry).bytes()
 	o.sendToReachable(i, text)
-	if !i.transport.closed.Load() { // else its library has ended, and cannot broadcast
-		// Two rounds of gossip are enough: all reachable members got it directly.
+	if !i.transport.closed.Load() { // otherwise the library has stopped and cannot broadcast
+		// Two rounds of gossip suffice, as the message was also sent to each reachable member.
 		timeout = min(timeout, max(timeout/2, minLeaveTime))
 		if err := i.library.Leave(timeout); err != nil {
-			o.log.Debug("members: leave was not broadcast to all", "err", err) // those that know pass it on
+			o.log.Debug("members: leave broadcast incomplete", "err", err) // members that received it forward it
 		}
-		o.sendToReachable(i, text) // again, as packets get lost
+		o.sendToReachable(i, text) // repeated, as packets may be lost
 		i.shutdown()
 	}
 	_ = o.transport.Shutdown()
-	o.log.Info("members: left", "name", i.id.Name, "start", i.id.Start)
+	o.log.Info("members: left the fleet", "name", i.id.Name, "start", i.id.Start)
 	return nil
 }
--- a/internal/membership/owner.go
+++ b/internal/membership/owner.go
@@ -9,50 +9,51 @@
 )
 
 const (
-	// viewInterval is how often Config.ViewChanged is called at least.
+	// viewInterval is the longest time between two calls of Config.ViewChanged.
 	viewInterval = time.Second
-	// viewIntervalSlack is how much earlier it may be called, so that a timer that fires early is not lost.
+	// viewIntervalSlack is how much before viewInterval the call may be made, so that a timer that fires early still
+	// triggers it.
 	viewIntervalSlack = viewInterval / 10
-	// minOwnerPause is the shortest time between two rounds of the owner that nothing wakes.
+	// minOwnerPause is the shortest time between two rounds that the owner's timer triggers.
 	minOwnerPause = viewInterval / 100
 
-	// scanPausePerMember is the time between two scans for each known process. A scan visits all of them, so this bounds
-	// the owner's work to some thousands of visits a second, however many messages arrive.
+	// scanPausePerMember is the shortest time between two scans, per known process. A scan visits all processes, so
+	// this bounds the owner's work to some thousands of visits a second, however many messages arrive.
 	scanPausePerMember = time.Millisecond
-	// neverScanned as the time of the last scan makes the next one due at once.
+	// neverScanned is a value of lastScan with which a scan is due at once.
 	neverScanned = -time.Hour
 
-	// retransmitMultiplier is memberlist's factor for how often a broadcast is sent.
+	// retransmitMultiplier is memberlist's factor for the number of times a broadcast is sent.
 	retransmitMultiplier = 4
 )
 
-// owner holds the roster. All of its fields belong to its goroutine, but for those that say otherwise.
+// owner holds the roster and publishes its view. Only its goroutine uses its fields, unless noted otherwise.
 type owner struct {
 	*shared
 	meta     meta
 	roster   *roster.Roster
-	received messageQueue // filled by the instances
+	received messageQueue // written by the instances
 	// broadcasts and pushPull are read by the instances.
 	broadcasts memberlist.TransmitLimitedQueue
 	pushPull   pushPullCache
 
-	reachable        map[roster.ID]*aliveNode    // by the failure detector
-	observedInstance *instance                   // to which reachable belongs
-	pending          map[roster.ID]time.Duration // processes to broadcast (see broadcastPending), and since when
-	ackRequests      []roster.Entry              // processes that wait for this one's acknowledgement
+	reachable         map[roster.ID]*aliveNode    // nodes that the failure detector holds alive or suspects
+	observedInstance  *instance                   // the instance that reachable was read from
+	pendingBroadcasts map[roster.ID]time.Duration // time since which each waits (see broadcastPending)
+	ackRequests       []roster.Entry              // processes that have requested an acknowledgement
 
-	acks     ackProgress
-	exchange exchangeSchedule
-	raise    startRaise
+	acks       ackProgress
+	exchange   exchangeSchedule
+	startRaise startRaise
 
 	rosterChangedAt time.Duration
-	viewSentAt      time.Duration
+	viewNotifiedAt  time.Duration
 	lastScan        time.Duration
 	scanNeeded      bool // something has changed since the last scan
-	namesCoexist    bool // several alive processes share a name and may become duplicates
+	hasSharedNames  bool // several alive processes have the same name and may become duplicates
 }
 
-// startOwner starts the library and the roster, but not the owner's goroutine.
+// startOwner returns an owner with a new roster and a running library. The caller starts its goroutine (run).
 func startOwner(s *shared) (*owner, error) {
 	var err error
 	if s.addr, err = advertisedAddr(&s.cfg, s.transport); err != nil {
@@ -64,15 +65,15 @@
 			Observer: s.cfg.Observer},
 		roster: roster.New(0, roster.Options{Self: id, Addr: s.addr, Observer: s.cfg.Observer, Peers: s.cfg.Peers,
 			AdmitWithin: s.cfg.AdmitWithin}),
-		reachable: map[roster.ID]*aliveNode{}, pending: map[roster.ID]time.Duration{}, scanNeeded: true,
+		reachable: map[roster.ID]*aliveNode{}, pendingBroadcasts: map[roster.ID]time.Duration{}, scanNeeded: true,
 		lastScan: neverScanned}
 	o.received.maxWeight = maxQueueWeight
-	o.broadcasts = memberlist.TransmitLimitedQueue{RetransmitMult: retransmitMultiplier, NumNodes: s.size}
+	o.broadcasts = memberlist.TransmitLimitedQueue{RetransmitMult: retransmitMultiplier, NumNodes: s.reachableCount}
 	o.entries()
 	return o, o.startInstance(id)
 }
 
-// run is the owner's goroutine.
+// run executes commands and rounds until the group is closed.
 func (o *owner) run() {
 	defer close(o.ownerDone)
 	timer := time.NewTimer(0)
@@ -84,18 +85,18 @@
 		case c := <-o.commands:
 			c.result <- c.execute(o)
 			continue
-		case <-o.wake:
+		case <-o.ownerWake:
 		case <-timer.C:
 		}
-		o.process()
+		o.runRound()
 		timer.Reset(o.pause())
 	}
 }
 
-// pause returns how long the owner waits if nothing wakes it.
+// pause returns the time until the next round, unless the owner is woken earlier.
 func (o *owner) pause() time.Duration {
-	pause := max(o.viewSentAt+viewInterval-o.now(), minOwnerPause)
-	if o.left.Load() {
+	pause := max(o.viewNotifiedAt+viewInterval-o.now(), minOwnerPause)
+	if o.hasLeft.Load() {
 		pause = viewInterval
 	} else if v := o.view.Load(); !v.Admitted || o.acks.missing && !v.Forced {
 		pause = min(pause, ackRequestInterval)
@@ -114,42 +115,42 @@
 // scanDue reports whether to scan all members.
 func (o *owner) scanDue(now time.Duration) bool {
 	elapsed := now - o.lastScan
-	timed := o.namesCoexist || o.raise.laterSince > 0 // these depend on time alone
+	timed := o.hasSharedNames || o.startRaise.laterSince > 0 // both change by the passing of time alone
 	return o.scanNeeded && elapsed >= o.scanPause() || timed && elapsed >= viewInterval-viewIntervalSlack
 }
 
-// scanNow is a round with a scan, whenever the last one was.
+// scanNow runs a round that includes a scan, regardless of the time of the last one.
 func (o *owner) scanNow() {
 	o.lastScan = neverScanned
-	o.process()
+	o.runRound()
 }
 
-// process is one round of the owner: it handles all that has arrived, and acts on it.
-func (o *owner) process() {
-	if o.left.Load() {
+// runRound handles the changes and messages that have arrived, and publishes the resulting view.
+func (o *owner) runRound() {
+	if o.hasLeft.Load() {
 		return
 	}
 	now := o.now()
 	messages := o.received.take()
-	// First, so that what the library reports before a message does is not broadcast.
-	o.observeInstance(now)
+	// Before the messages, so that processes that the library has already reported are not broadcast.
+	o.applyNodeChanges(now)
 	for _, m := range messages {
 		o.handleMessage(now, m)
 	}
 	o.broadcastPending(now)
 	o.resolveConflict(now)
 	if o.scanDue(now) {
-		o.proveReplaced(now)
+		o.removeReplaced(now)
 		o.raiseStart(now)
 	}
 	o.restartInstance()
 	o.requestAcks(now)
 	o.publish(now)
-	o.sendAcks() // after the members they count were published
+	o.sendAcks() // after publish: the view must count a process before it is acknowledged
 }
 
-// observeInstance takes over the failure detector's verdicts.
-func (o *owner) observeInstance(now time.Duration) {
+// applyNodeChanges applies the failure detector's changes to the reachable nodes and the roster.
+func (o *owner) applyNodeChanges(now time.Duration) {
 	i := o.current.Load()
 	if i != o.observedInstance {
 		i.markChanged(o.reachable)
@@ -165,29 +166,30 @@
 		if c.node != nil {
 			o.reachable[c.id] = c.node
 			if before == nil {
-				o.nodeJoined(now, c.id, c.node)
+				o.addJoinedNode(now, c.id, c.node)
 			}
 			continue
 		}
 		delete(o.reachable, c.id)
 		o.roster.SetReachable(now, c.id, false)
 		if o.cfg.Defect == DefectTrustDetector {
-			o.merge(now, goneEntry(c.id, roster.ProofOperator))
+			o.merge(now, removedEntry(c.id, roster.ProofOperator))
 		}
 	}
 }
 
-// nodeJoined adds a node that has become reachable to the roster, if there is room for it.
-func (o *owner) nodeJoined(now time.Duration, id roster.ID, n *aliveNode) {
-	entries := o.withinBound([]roster.Entry{{Name: id.Name, Start: id.Start, Addr: n.addr, Observer: n.meta.Observer}})
+// addJoinedNode adds a node that has become reachable to the roster, unless the roster is full.
+func (o *owner) addJoinedNode(now time.Duration, id roster.ID, n *aliveNode) {
+	entries := o.limitEntries([]roster.Entry{{Name: id.Name, Start: id.Start, Addr: n.addr, Observer: n.meta.Observer}})
 	if o.merge(now, entries...); len(entries) > 0 {
 		o.roster.SetReachable(now, id, true)
 	}
 }
 
+// idOf returns the identity of an entry's process.
 func idOf(e roster.Entry) roster.ID { return roster.ID{Name: e.Name, Start: e.Start} }
 
-// goneEntry is the entry that proves a process gone.
-func goneEntry(id roster.ID, proof roster.Proof) roster.Entry {
+// removedEntry returns an entry with a proof that a process has ended.
+func removedEntry(id roster.ID, proof roster.Proof) roster.Entry {
 	return roster.Entry{Name: id.Name, Start: id.Start, Gone: id.Start, Proof: proof}
 }
--- a/internal/membership/stats.go
+++ b/internal/membership/stats.go
@@ -6,17 +6,17 @@
 	"sync/atomic"
 )
 
-// counters count since Open.
+// counters holds the counters behind Stats.
 type counters struct {
-	startsRaised atomic.Uint64 // starts raised after this process was proved gone
-	failedJoins  atomic.Uint64
+	startsRaised atomic.Uint64 // new incarnations after this process was removed while running
+	failedJoins  atomic.Uint64 // failed exchanges with a seed or an unreachable member
 
 	mu    sync.Mutex
-	drops map[string]uint64 // by reason
+	drops map[string]uint64 // number of drops by reason
 }
 
-// drop counts a packet, stream, message or node that was dropped. It may be called under the library's locks.
-func (c *counters) drop(reason string) {
+// countDrop counts a dropped packet, stream, message or node. It may be called under the library's locks.
+func (c *counters) countDrop(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.drops == nil {
@@ -25,23 +25,23 @@
 	c.drops[reason]++
 }
 
-func (c *counters) dropped() map[string]uint64 {
+func (c *counters) dropsByReason() map[string]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.drops)
 }
 
-func (c *counters) droppedTotal() uint64 {
+func (c *counters) totalDrops() uint64 {
 	total := uint64(0)
-	for _, n := range c.dropped() {
+	for _, n := range c.dropsByReason() {
 		total += n
 	}
 	return total
 }
 
-// Stats are counts since Open, beside those of Report.
+// Stats holds counts since Open in addition to those of Report.
 type Stats struct {
-	StartsRaised uint64            // starts raised after this process was proved gone
+	StartsRaised uint64            // new incarnations after this process was removed while running
 	FailedJoins  uint64            // failed exchanges with a seed or an unreachable member
 	Dropped      map[string]uint64 // dropped packets, streams, messages and nodes, by reason
 }
@@ -49,5 +49,5 @@
 // Stats returns the counts.
 func (g *Group) Stats() Stats {
 	return Stats{StartsRaised: g.counters.startsRaised.Load(), FailedJoins: g.counters.failedJoins.Load(),
-		Dropped: g.counters.dropped()}
+		Dropped: g.counters.dropsByReason()}
 }
