--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -16,10 +16,10 @@
 func goldenEntries() []roster.Entry {
 	return []roster.Entry{
 		{Name: "process-0", Start: 1_700_000_000_000, Addr: "127.0.0.1:7946"},
-		{Name: "process-1", Start: 1_700_000_000_001, Gone: 1_700_000_000_001, Proof: roster.ProofRefused, Addr: "127.0.0.2:7946"},
-		{Name: "process-2", Start: 1_700_000_000_002, Gone: 1_600_000_000_000, Proof: roster.ProofAddressReused, Addr: "[::1]:7946"},
-		{Name: "process-3-é", Start: 3, Gone: 3, Proof: roster.ProofOperator},
-		{Name: "process-4", Start: 4, Gone: 4, Proof: roster.ProofLeft, Addr: "127.0.0.4:1", Observer: true},
+		{Name: "process-1", Start: 1_700_000_000_001, GoneStart: 1_700_000_000_001, Proof: roster.ProofRefused, Addr: "127.0.0.2:7946"},
+		{Name: "process-2", Start: 1_700_000_000_002, GoneStart: 1_600_000_000_000, Proof: roster.ProofAddressReused, Addr: "[::1]:7946"},
+		{Name: "process-3-é", Start: 3, GoneStart: 3, Proof: roster.ProofOperator},
+		{Name: "process-4", Start: 4, GoneStart: 4, Proof: roster.ProofLeft, Addr: "127.0.0.4:1", Observer: true},
 	}
 }
 
--- a/internal/membership/group.go
+++ b/internal/membership/group.go
@@ -85,7 +85,7 @@
 	s := newShared(cfg)
 	if s.transport == nil {
 		t, err := transport.Open(transport.Config{Bind: cfg.Bind, Advertise: cfg.Advertise, Networks: cfg.Networks,
-			Log: cfg.Log, Dropped: s.counters.drop})
+			Log: cfg.Log, OnDrop: s.counters.drop})
 		if err != nil {
 			return nil, fmt.Errorf("members: %w", err)
 		}
--- a/internal/membership/hostile_test.go
+++ b/internal/membership/hostile_test.go
@@ -31,8 +31,8 @@
 	g := f.openAll(2, nil)
 	self := g[0].Report().Self
 	forged := encodeEntries(kindEntries,
-		roster.Entry{Name: self.Name, Start: maxStart - 1, Gone: maxStart - 1, Proof: roster.ProofOperator},
-		roster.Entry{Name: self.Name, Start: self.Start, Gone: self.Start, Proof: roster.ProofOperator}).bytes()
+		roster.Entry{Name: self.Name, Start: maxStart - 1, GoneStart: maxStart - 1, Proof: roster.ProofOperator},
+		roster.Entry{Name: self.Name, Start: self.Start, GoneStart: self.Start, Proof: roster.ProofOperator}).bytes()
 	require.NoError(t, g[1].current.Load().library.SendToAddress(memberlist.Address{Addr: g[0].addr}, forged))
 	f.eventually("it cannot join again", func() bool { return g[0].current.Load().transport.closed.Load() })
 	require.NoError(t, g[0].Leave(t.Context()))
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -57,7 +57,7 @@
 func encodeEntries(k kind, entries ...roster.Entry) message {
 	m := message{Version: messageVersion, Kind: k, Entries: make([]wireEntry, len(entries))}
 	for i, e := range entries {
-		m.Entries[i] = wireEntry{e.Name, e.Start, e.Gone, uint8(e.Proof), e.Addr, e.Observer}
+		m.Entries[i] = wireEntry{e.Name, e.Start, e.GoneStart, uint8(e.Proof), e.Addr, e.Observer}
 	}
 	return m
 }
@@ -152,7 +152,7 @@
 func (m message) roster() []roster.Entry {
 	out := make([]roster.Entry, len(m.Entries))
 	for i, e := range m.Entries {
-		out[i] = roster.Entry{Name: e.Name, Start: e.Start, Gone: e.Gone, Proof: roster.Proof(e.Proof), Addr: e.Addr,
+		out[i] = roster.Entry{Name: e.Name, Start: e.Start, GoneStart: e.Gone, Proof: roster.Proof(e.Proof), Addr: e.Addr,
 			Observer: e.Observer}
 	}
 	return out
--- a/internal/membership/owner.go
+++ b/internal/membership/owner.go
@@ -189,5 +189,5 @@
 
 // goneEntry is the entry that proves a process gone.
 func goneEntry(id roster.ID, proof roster.Proof) roster.Entry {
-	return roster.Entry{Name: id.Name, Start: id.Start, Gone: id.Start, Proof: proof}
+	return roster.Entry{Name: id.Name, Start: id.Start, GoneStart: id.Start, Proof: proof}
 }
--- a/internal/membership/owner_acks.go
+++ b/internal/membership/owner_acks.go
@@ -56,7 +56,7 @@
 }
 
 func (o *owner) handleAck(now time.Duration, by roster.ID, digest uint64) {
-	if o.roster.Acknowledged(by, digest) {
+	if o.roster.HandleDigest(by, digest) {
 		o.acks.matching++
 		o.exchange.wantedSince, o.exchange.pause = 0, minExchangePause
 		return
--- a/internal/membership/owner_messages.go
+++ b/internal/membership/owner_messages.go
@@ -68,7 +68,7 @@
 			o.pending[id] = now
 		}
 		if o.status.members[id] != nil && !e.Present() {
-			o.log.Info("members: gone", "name", e.Name, "start", e.Gone, "proof", proofText(e.Proof))
+			o.log.Info("members: gone", "name", e.Name, "start", e.GoneStart, "proof", proofText(e.Proof))
 		}
 	}
 	if len(changed) > 0 {
--- a/internal/membership/roster/model/explore.go
+++ b/internal/membership/roster/model/explore.go
@@ -12,8 +12,8 @@
 // Explore visits each reachable state of a scenario, breadth first, and returns their number. It stops at the first one
 // that breaks the invariant; the error wraps the violation in the events of the shortest way to it.
 func Explore(scenario Scenario) (states int, err error) {
-	if maxLate := len(state{}.late); len(scenario.Slots) > MaxSlots || scenario.Late > maxLate {
-		return 0, fmt.Errorf("%d slots and %d late messages: at most %d and %d", len(scenario.Slots), scenario.Late,
+	if maxLate := len(state{}.delayed); len(scenario.Slots) > MaxSlots || scenario.DelayedMessages > maxLate {
+		return 0, fmt.Errorf("%d slots and %d late messages: at most %d and %d", len(scenario.Slots), scenario.DelayedMessages,
 			MaxSlots, maxLate)
 	}
 	x := newSearch(scenario)
@@ -26,15 +26,15 @@
 			all = append(all, visitedState{s, event, current})
 		}
 	}
-	x.emit(eventLabel{}, x.first())
+	x.emit(eventLabel{}, x.initialState())
 	for current = 0; int(current) < len(all); current++ {
-		if err := x.check(all[current].state); err != nil {
+		if err := x.checkInvariant(all[current].state); err != nil {
 			for i := current; i > 0; i = all[i].parent {
 				err = fmt.Errorf("%v: %w", all[i].event, err)
 			}
 			return len(all), err
 		}
-		x.next(all[current].state)
+		x.emitSuccessors(all[current].state)
 	}
 	return len(all), nil
 }
--- a/internal/membership/roster/model/fleet.go
+++ b/internal/membership/roster/model/fleet.go
@@ -34,7 +34,7 @@
 	processes   []*process // all that ever started
 	inFlight    []message
 	names       int
-	cut         bool
+	partitioned bool
 	anyAdmitted bool     // some process was admitted
 	Log         []string // the events so far
 }
@@ -45,7 +45,7 @@
 	addr        string
 	running     bool
 	leaving     bool          // it has said that it leaves
-	rightSide   bool          // of a cut
+	secondSide  bool          // of a cut
 	clockOffset time.Duration // of its clock at the beginning of the run
 	clockRate   float64       // its seconds for each second of the run
 	view        roster.View
@@ -71,14 +71,14 @@
 	f := &Fleet{FleetConfig: c, random: random}
 	for range c.Size {
 		f.names++
-		f.start(fmt.Sprintf("p%d", f.names))
+		f.startProcess(fmt.Sprintf("p%d", f.names))
 	}
 	return f
 }
 
-func (f *Fleet) start(name string) *process {
+func (f *Fleet) startProcess(name string) *process {
 	p := &process{running: true, gone: map[roster.ID]bool{}, addr: fmt.Sprintf("host:%d", len(f.processes)+1)}
-	p.rightSide = f.cut && f.random.IntN(2) == 0
+	p.secondSide = f.partitioned && f.random.IntN(2) == 0
 	p.clockOffset = time.Duration(f.random.IntN(1e6)) * time.Second
 	p.clockRate = 0.9 + 0.02*float64(f.random.IntN(11))
 	id := roster.ID{Name: name, Start: f.now.Milliseconds() + int64(len(f.processes)) + 1}
@@ -95,16 +95,16 @@
 
 // Step plays one random event. It returns an error if the invariant is broken then.
 func (f *Fleet) Step() error {
-	f.playEvent()
-	return f.Check()
+	f.runRandomEvent()
+	return f.CheckInvariant()
 }
 
 func (f *Fleet) logEvent(format string, args ...any) {
 	f.Log = append(f.Log, fmt.Sprintf(format, args...))
 }
 
-// playEvent draws one of 256 equally likely numbers, each of which stands for an event of a random process.
-func (f *Fleet) playEvent() {
+// runRandomEvent draws one of 256 equally likely numbers, each of which stands for an event of a random process.
+func (f *Fleet) runRandomEvent() {
 	p := f.pick(func(p *process) bool { return p.running })
 	if p == nil {
 		return
@@ -112,16 +112,16 @@
 	switch n := f.random.IntN(256); {
 	case n < 12:
 		f.advance(time.Duration(1) << f.random.IntN(36))
-	case n < 14 || f.cut && n < 20:
-		f.toggleCut()
+	case n < 14 || f.partitioned && n < 20:
+		f.togglePartition()
 	case n < 24:
-		f.startNext(p)
+		f.startRandomProcess(p)
 	case n < 26:
-		f.stop(p)
+		f.leaveOrCrash(p)
 	case n < 46:
-		f.detect(p)
+		f.setVerdict(p)
 	case n < 76:
-		f.prove(p)
+		f.proveGone(p)
 	case n < 110:
 		f.deliver()
 	default:
@@ -152,17 +152,17 @@
 	f.logEvent("%v pass", d)
 }
 
-// toggleCut cuts the fleet in two, or heals it.
-func (f *Fleet) toggleCut() {
-	f.cut = !f.cut
+// togglePartition cuts the fleet in two, or heals it.
+func (f *Fleet) togglePartition() {
+	f.partitioned = !f.partitioned
 	for _, p := range f.processes {
-		p.rightSide = f.cut && f.random.IntN(2) == 0
+		p.secondSide = f.partitioned && f.random.IntN(2) == 0
 	}
-	f.logEvent("cut: %v", f.cut)
+	f.logEvent("cut: %v", f.partitioned)
 }
 
-// startNext starts a process of a new name, or the next process of a name, beside the one before or after it.
-func (f *Fleet) startNext(p *process) {
+// startRandomProcess starts a process of a new name, or the next process of a name, beside the one before or after it.
+func (f *Fleet) startRandomProcess(p *process) {
 	waiting, running := 0, 0
 	for _, q := range f.processes {
 		if q.running && (!q.view.Admitted || q.view.Forced) {
@@ -184,12 +184,12 @@
 		f.names++
 		name = fmt.Sprintf("p%d", f.names)
 	}
-	q := f.start(name)
+	q := f.startProcess(name)
 	f.logEvent("%v starts", q.roster.Self())
 }
 
-// stop has a process say that it leaves, or crash.
-func (f *Fleet) stop(p *process) {
+// leaveOrCrash has a process say that it leaves, or crash.
+func (f *Fleet) leaveOrCrash(p *process) {
 	if f.random.IntN(2) == 0 {
 		self := p.roster.Self()
 		left := goneEntry(self, roster.ProofLeft)
@@ -207,8 +207,8 @@
 	f.logEvent("%v crashes", p.roster.Self())
 }
 
-// detect gives a process a verdict of its failure detector, right or wrong.
-func (f *Fleet) detect(p *process) {
+// setVerdict gives a process a verdict of its failure detector, right or wrong.
+func (f *Fleet) setVerdict(p *process) {
 	all := p.roster.Entries()
 	e := all[f.random.IntN(len(all))]
 	alive := f.random.IntN(2) == 0
@@ -220,8 +220,8 @@
 	p.roster.SetReachable(f.clock(p), id, alive)
 }
 
-// prove has a process prove that another one is gone.
-func (f *Fleet) prove(p *process) {
+// proveGone has a process proveGone that another one is gone.
+func (f *Fleet) proveGone(p *process) {
 	gone := f.pick(func(q *process) bool { return q != p && (!q.running || f.FalseProofs) })
 	if gone == nil {
 		return
@@ -234,7 +234,7 @@
 // canSend reports whether a message may be sent: one process knows the other, or one of them is admitted and so may be
 // a seed, or none ever was.
 func (f *Fleet) canSend(p, q *process) bool {
-	if p == q || !p.running || !q.running || p.leaving || q.leaving || p.rightSide != q.rightSide {
+	if p == q || !p.running || !q.running || p.leaving || q.leaving || p.secondSide != q.secondSide {
 		return false
 	}
 	return knows(p, q) || knows(q, p) || p.view.Admitted || q.view.Admitted || !f.anyAdmitted
@@ -270,8 +270,8 @@
 	f.logEvent("%v and %v exchange", p.roster.Self(), q.roster.Self())
 	f.merge(q, p.roster.Entries()...)
 	f.merge(p, q.roster.Entries()...)
-	p.roster.Acknowledged(q.roster.Self(), q.roster.Digest())
-	q.roster.Acknowledged(p.roster.Self(), p.roster.Digest())
+	p.roster.HandleDigest(q.roster.Self(), q.roster.Digest())
+	q.roster.HandleDigest(p.roster.Self(), p.roster.Digest())
 }
 
 // deliver delivers, duplicates or drops a random message in flight.
@@ -298,7 +298,7 @@
 	}
 	f.logEvent("%v receives from %v", m.to.roster.Self(), m.by)
 	if m.entries == nil {
-		m.to.roster.Acknowledged(m.by, m.digest)
+		m.to.roster.HandleDigest(m.by, m.digest)
 		return
 	}
 	f.merge(m.to, m.entries...)
@@ -320,21 +320,21 @@
 	}
 }
 
-// Check checks the invariant: the quotas of the running processes that are not Forced add up to at most 1, and a process
+// CheckInvariant checks the invariant: the quotas of the running processes that are not Forced add up to at most 1, and a process
 // that another one knows as gone does not become present for it again.
-func (f *Fleet) Check() error {
+func (f *Fleet) CheckInvariant() error {
 	if i := slices.IndexFunc(f.processes, func(p *process) bool { return p.proofUndone }); i >= 0 {
 		return fmt.Errorf("%v: %w", f.processes[i].roster.Self(), ErrProofUndone)
 	}
-	if sum := f.Sum(false); sum > 1+sumTolerance {
+	if sum := f.QuotaSum(false); sum > 1+sumTolerance {
 		return fmt.Errorf("%w: %.4f", ErrQuotaExceeded, sum)
 	}
 	return nil
 }
 
-// Sum updates each running process's estimate of the fleet's size and returns the sum of the quotas, with or without those
+// QuotaSum updates each running process's estimate of the fleet's size and returns the sum of the quotas, with or without those
 // of Forced processes.
-func (f *Fleet) Sum(forced bool) float64 {
+func (f *Fleet) QuotaSum(forced bool) float64 {
 	sum := 0.0
 	for _, p := range f.processes {
 		if !p.running {
@@ -357,19 +357,19 @@
 	return sum
 }
 
-// Settled is what a fleet converges to without further faults.
-type Settled struct {
+// ConvergedState is what a fleet converges to without further faults.
+type ConvergedState struct {
 	Names      int // names with a running process
 	Admitted   int // admitted processes
 	Duplicates int // processes that run together with a later one of their name
 	Sum        float64
 }
 
-// Settle heals the cut, ends the leaving processes, and has all exchange all knowledge, true proofs included.
-func (f *Fleet) Settle() (r Settled) {
-	f.cut, f.inFlight = false, nil
+// Converge heals the cut, ends the leaving processes, and has all exchange all knowledge, true proofs included.
+func (f *Fleet) Converge() (r ConvergedState) {
+	f.partitioned, f.inFlight = false, nil
 	for _, p := range f.processes {
-		p.rightSide, p.running = false, p.running && !p.leaving
+		p.secondSide, p.running = false, p.running && !p.leaving
 	}
 	for range 8 {
 		for _, p := range f.processes {
@@ -386,7 +386,7 @@
 			}
 		}
 		f.advance(time.Minute)
-		r.Sum = f.Sum(true)
+		r.Sum = f.QuotaSum(true)
 	}
 	names := map[string]bool{}
 	for _, p := range f.processes {
--- a/internal/membership/roster/model/model_test.go
+++ b/internal/membership/roster/model/model_test.go
@@ -19,7 +19,7 @@
 
 // lateSlot returns a slot whose process starts late, with the first slots as its seeds.
 func lateSlot(name string, start int64, seeds int) Slot {
-	return Slot{ID: roster.ID{Name: name, Start: start}, Late: true, Seeds: 1<<seeds - 1}
+	return Slot{ID: roster.ID{Name: name, Start: start}, JoinsLater: true, Seeds: 1<<seeds - 1}
 }
 
 var (
@@ -31,12 +31,12 @@
 
 func restart() []Slot {
 	restarted := lateSlot("a", 2, 3)
-	restarted.After = true
+	restarted.AfterCrash = true
 	return append(three[:3:3], restarted)
 }
 
-// strangers returns the slots with all of them as seeds of each.
-func strangers(slots ...Slot) []Slot {
+// withAllSeeds returns the slots with all of them as seeds of each.
+func withAllSeeds(slots ...Slot) []Slot {
 	slots = slices.Clone(slots)
 	for i := range slots {
 		slots[i].Seeds = 1<<len(slots) - 1
@@ -60,21 +60,21 @@
 
 func TestExplore(t *testing.T) {
 	scenarios := map[string]Scenario{
-		"one joining":                 {Slots: oneJoining, Peers: 3, Cuts: 1, Crashes: 1, Late: 1},
-		"restart":                     {Slots: restart(), Peers: 3, Cuts: 1, Crashes: 1, Late: 1},
-		"upgrade":                     {Slots: upgrade, Peers: 3, Cuts: 1, Crashes: 1},
-		"two joining":                 {Slots: twoJoining, Peers: 3, Cuts: 1},
-		"strangers":                   {Slots: strangers(three...), Strangers: true, Peers: 3, Cuts: 1, Crashes: 1},
-		"one forced":                  {Slots: oneJoining, Peers: 3, Cuts: 1, Crashes: 1, Forced: 1, Bound: boundPerForced},
-		"one forced, peers count all": {Slots: oneJoining, Peers: 4, Cuts: 1, Forced: 1, Bound: boundFullyKnown},
+		"one joining":                 {Slots: oneJoining, Peers: 3, Partitions: 1, Crashes: 1, DelayedMessages: 1},
+		"restart":                     {Slots: restart(), Peers: 3, Partitions: 1, Crashes: 1, DelayedMessages: 1},
+		"upgrade":                     {Slots: upgrade, Peers: 3, Partitions: 1, Crashes: 1},
+		"two joining":                 {Slots: twoJoining, Peers: 3, Partitions: 1},
+		"strangers":                   {Slots: withAllSeeds(three...), ColdStart: true, Peers: 3, Partitions: 1, Crashes: 1},
+		"one forced":                  {Slots: oneJoining, Peers: 3, Partitions: 1, Crashes: 1, ForcedAdmissions: 1, Bound: boundPerForced},
+		"one forced, peers count all": {Slots: oneJoining, Peers: 4, Partitions: 1, ForcedAdmissions: 1, Bound: boundFullyKnown},
 	}
 	crashing := []Slot{slot("a", 1), slot("b", 1), slot("a", 2), lateSlot("a", 3, 3)}
-	scenarios["one proof per name"] = Scenario{Slots: crashing, Peers: 2, Cuts: 1, Crashes: 2, MaxProofsPerName: 1}
+	scenarios["one proof per name"] = Scenario{Slots: crashing, Peers: 2, Partitions: 1, Crashes: 2, MaxProofsPerName: 1}
 	if !raceDetector {
-		scenarios["upgrade, late message"] = Scenario{Slots: upgrade, Peers: 3, Cuts: 1, Crashes: 1, Late: 1}
-		scenarios["two joining, crash"] = Scenario{Slots: twoJoining, Peers: 3, Cuts: 1, Crashes: 1}
-		scenarios["two joining, one peer"] = Scenario{Slots: twoJoining, Peers: 1, Cuts: 1, Crashes: 1}
-		scenarios["two forced"] = Scenario{Slots: twoJoining, Peers: 3, Crashes: 1, Forced: 2, Bound: boundPerForced}
+		scenarios["upgrade, late message"] = Scenario{Slots: upgrade, Peers: 3, Partitions: 1, Crashes: 1, DelayedMessages: 1}
+		scenarios["two joining, crash"] = Scenario{Slots: twoJoining, Peers: 3, Partitions: 1, Crashes: 1}
+		scenarios["two joining, one peer"] = Scenario{Slots: twoJoining, Peers: 1, Partitions: 1, Crashes: 1}
+		scenarios["two forced"] = Scenario{Slots: twoJoining, Peers: 3, Crashes: 1, ForcedAdmissions: 2, Bound: boundPerForced}
 	}
 	for name, scenario := range scenarios {
 		t.Run(name, func(t *testing.T) {
@@ -89,9 +89,9 @@
 // The cases in which the invariant does not hold are found.
 func TestExplore_KnownLimits(t *testing.T) {
 	for name, scenario := range map[string]Scenario{
-		"one forced that knows nobody": {Slots: oneJoining, Peers: 3, Forced: 1, Bound: boundFullyKnown},
+		"one forced that knows nobody": {Slots: oneJoining, Peers: 3, ForcedAdmissions: 1, Bound: boundFullyKnown},
 		"as many joining as peers":     {Slots: twoJoining, Peers: 2},
-		"island with one peer":         {Slots: twoJoining, Peers: 1, Forced: 1, Bound: boundPerForced},
+		"island with one peer":         {Slots: twoJoining, Peers: 1, ForcedAdmissions: 1, Bound: boundPerForced},
 	} {
 		states, err := Explore(scenario)
 		require.ErrorIs(t, err, ErrQuotaExceeded, name)
@@ -110,8 +110,8 @@
 			a, b := all[0], all[1]
 			a.Merge(0, b.Entries()...)
 			b.Merge(0, a.Entries()...)
-			a.Acknowledged(b.Self(), b.Digest())
-			b.Acknowledged(a.Self(), a.Digest())
+			a.HandleDigest(b.Self(), b.Digest())
+			b.HandleDigest(a.Self(), a.Digest())
 			all = append(all[1:], a)
 		}
 	}
@@ -122,7 +122,7 @@
 		acknowledgeAll(r, q)
 		for j, other := range fleet {
 			if id := other.Self(); j != i {
-				q.Merge(0, roster.Entry{Name: id.Name, Start: 1, Gone: 1, Proof: roster.ProofRefused})
+				q.Merge(0, roster.Entry{Name: id.Name, Start: 1, GoneStart: 1, Proof: roster.ProofRefused})
 			}
 		}
 		assert.Equal(t, roster.View{Known: 2, Reachable: 1, Admitted: true}, q.View(0))
@@ -139,9 +139,9 @@
 	return FleetConfig{Size: size, Peers: size, NewNames: random.IntN(size), Defect: d, AdmitWithin: admitWithin}
 }
 
-// playRun plays a random run. An estimate that falls although half are unreachable (IgnoreUnreachable) breaks nothing here,
+// checkRandomRun plays a random run. An estimate that falls although half are unreachable (IgnoreUnreachable) breaks nothing here,
 // as all proofs are true; the estimate is slow for the sake of false proofs.
-func playRun(random Random, maxProofsPerName int) error {
+func checkRandomRun(random Random, maxProofsPerName int) error {
 	defect := []Defect{None, IgnoreUnreachable}[random.IntN(2)]
 	config := randomConfig(random, defect, []time.Duration{0, 5 * time.Second}[random.IntN(2)])
 	config.MaxProofsPerName = maxProofsPerName
@@ -157,10 +157,10 @@
 func TestFleet_Invariant(t *testing.T) {
 	for seed := range uint64(100) {
 		for proofs := range 3 {
-			require.NoError(t, playRun(rand.New(rand.NewPCG(seed, 2)), proofs), "seed %d, %d proofs of a name", seed, proofs)
+			require.NoError(t, checkRandomRun(rand.New(rand.NewPCG(seed, 2)), proofs), "seed %d, %d proofs of a name", seed, proofs)
 		}
 	}
-	rapid.Check(t, func(t *rapid.T) { require.NoError(t, playRun(rapidRandom{t}, 0)) })
+	rapid.Check(t, func(t *rapid.T) { require.NoError(t, checkRandomRun(rapidRandom{t}, 0)) })
 }
 
 // Without further faults all processes know each other and take the whole, those that were falsely proved gone included.
@@ -173,7 +173,7 @@
 		for range 500 {
 			_ = f.Step() // false proofs break the invariant
 		}
-		settled := f.Settle()
+		settled := f.Converge()
 		assert.Equal(t, settled.Names, settled.Admitted, "seed %d: %+v", seed, settled)
 		assert.LessOrEqual(t, settled.Sum, 1+1e-9, "seed %d: %+v", seed, settled)
 		if settled.Duplicates == 0 && settled.Names > 0 {
@@ -188,7 +188,7 @@
 		NoAdmission:   ErrQuotaExceeded,
 		ProofUndone:   ErrProofUndone,
 	} {
-		states, err := Explore(Scenario{Slots: oneJoining, Peers: 3, Cuts: 1, Crashes: 1, Late: 1, Defect: d})
+		states, err := Explore(Scenario{Slots: oneJoining, Peers: 3, Partitions: 1, Crashes: 1, DelayedMessages: 1, Defect: d})
 		require.ErrorIs(t, err, want)
 		t.Logf("defect %d, after %d states: %v", d, states, err)
 		seed := uint64(0)
--- a/internal/membership/roster/model/scenario.go
+++ b/internal/membership/roster/model/scenario.go
@@ -40,23 +40,23 @@
 
 // Slot holds one process of a scenario.
 type Slot struct {
-	ID    roster.ID
-	Late  bool  // it is not present at the beginning
-	After bool  // it starts only after all others of its name have crashed
-	Seeds uint8 // bit set of the slots that it may contact without knowing them
+	ID         roster.ID
+	JoinsLater bool  // it is not present at the beginning
+	AfterCrash bool  // it starts only after all others of its name have crashed
+	Seeds      uint8 // bit set of the slots that it may contact without knowing them
 }
 
 // Scenario says which processes there are and how often each fault may happen. At the beginning those that are not Late
 // know each other and are admitted, unless Strangers is set: then nobody knows anybody.
 type Scenario struct {
-	Slots     []Slot
-	Peers     int
-	Strangers bool
-	Cuts      int // each into any two sides, healed at any time
-	Crashes   int
-	Late      int // messages that may arrive at any later time, any number of times; others arrive at once or never
-	Forced    int // processes that may be admitted by timeout
-	Defect    Defect
+	Slots            []Slot
+	Peers            int
+	ColdStart        bool
+	Partitions       int // each into any two sides, healed at any time
+	Crashes          int
+	DelayedMessages  int // messages that may arrive at any later time, any number of times; others arrive at once or never
+	ForcedAdmissions int // processes that may be admitted by timeout
+	Defect           Defect
 	// MaxProofsPerName bounds the proofs as in roster.Options. A process whose proof is forgotten may be present again.
 	MaxProofsPerName int
 	// Bound returns the largest allowed sum of quotas; nil: 1. Forced processes are part of the sum only if it is set.
--- a/internal/membership/roster/model/search.go
+++ b/internal/membership/roster/model/search.go
@@ -11,22 +11,22 @@
 
 // state is one state of a scenario. It holds numbers in place of rosters, so that equal states compare equal.
 type state struct {
-	slots                 [MaxSlots]knowledgeID
-	late                  [2]lateMessage
-	side                  uint8 // bit set of the slots on one side of a cut; 0: no cut
-	cuts, crashes, forced uint8 // how many may still happen
+	slots                                   [MaxSlots]knowledgeID
+	delayed                                 [2]delayedMessage
+	partitionSide                           uint8 // bit set of the slots on one side of a cut; 0: no cut
+	partitionsLeft, crashesLeft, forcedLeft uint8 // how many may still happen
 }
 
 // knowledgeID is the index in search.knowledge of what a process knows, or one of the constants.
 type knowledgeID int32
 
 const (
-	notStarted knowledgeID = 0
-	crashed    knowledgeID = 1
-	firstFree  knowledgeID = 2
+	notStarted       knowledgeID = 0
+	crashed          knowledgeID = 1
+	firstKnowledgeID knowledgeID = 2
 )
 
-func (id knowledgeID) runs() bool { return id >= firstFree }
+func (id knowledgeID) isRunning() bool { return id >= firstKnowledgeID }
 
 // stepKind is what a process does, or receives.
 type stepKind uint8
@@ -39,8 +39,8 @@
 	admissionTimesOut                     // the process has waited long enough
 )
 
-// lateMessage is a message that stays in flight. The zero value is none.
-type lateMessage struct {
+// delayedMessage is a message that stays in flight. The zero value is none.
+type delayedMessage struct {
 	kind   stepKind
 	sender knowledgeID // as it was when it sent this
 	to     uint8       // slot
@@ -82,9 +82,9 @@
 // step is one step of a process that knows what from says. The meaning of arg depends on the kind: a knowledgeID for
 // receiveEntries and receiveDigest, a slot for receiveOneEntry and proveGone.
 type step struct {
-	from knowledgeID
-	kind stepKind
-	arg  int32
+	before knowledgeID
+	kind   stepKind
+	arg    int32
 }
 
 // search walks through a scenario. The result of each step is computed once.
@@ -97,7 +97,7 @@
 }
 
 func newSearch(scenario Scenario) *search {
-	return &search{Scenario: scenario, knowledge: make([]knowledge, firstFree), ids: map[string]knowledgeID{},
+	return &search{Scenario: scenario, knowledge: make([]knowledge, firstKnowledgeID), ids: map[string]knowledgeID{},
 		results: map[step]knowledgeID{}}
 }
 
@@ -106,20 +106,20 @@
 		MaxProofsPerName: x.MaxProofsPerName})
 }
 
-// first returns the state at the beginning.
-func (x *search) first() state {
-	s := state{cuts: uint8(x.Cuts), crashes: uint8(x.Crashes), forced: uint8(x.Forced)}
+// initialState returns the state at the beginning.
+func (x *search) initialState() state {
+	s := state{partitionsLeft: uint8(x.Partitions), crashesLeft: uint8(x.Crashes), forcedLeft: uint8(x.ForcedAdmissions)}
 	var started []*roster.Roster
 	for i, slot := range x.Slots {
-		if !slot.Late {
+		if !slot.JoinsLater {
 			started = append(started, x.newRoster(i))
 		}
 	}
-	if !x.Strangers {
+	if !x.ColdStart {
 		acknowledgeAll(started)
 	}
 	for i, slot := range x.Slots {
-		if !slot.Late {
+		if !slot.JoinsLater {
 			s.slots[i], started = x.intern(i, started[0], knowledge{}), started[1:]
 		}
 	}
@@ -136,7 +136,7 @@
 	for _, r := range rosters {
 		r.View(admitWithin)
 		for _, q := range rosters {
-			r.Acknowledged(q.Self(), q.Digest())
+			r.HandleDigest(q.Self(), q.Digest())
 		}
 	}
 }
@@ -175,7 +175,7 @@
 	if id, known := x.results[s]; known {
 		return id
 	}
-	k := x.knowledge[s.from]
+	k := x.knowledge[s.before]
 	r := k.roster.Clone()
 	switch s.kind {
 	case receiveEntries:
@@ -184,7 +184,7 @@
 		r = x.merge(r, roster.Entry{Name: x.Slots[s.arg].ID.Name, Start: x.Slots[s.arg].ID.Start})
 	case receiveDigest:
 		sender := x.knowledge[s.arg].roster
-		r.Acknowledged(sender.Self(), sender.Digest())
+		r.HandleDigest(sender.Self(), sender.Digest())
 	case proveGone:
 		r.Merge(0, goneEntry(x.Slots[s.arg].ID, roster.ProofRefused))
 	case admissionTimesOut:
@@ -196,7 +196,7 @@
 }
 
 func goneEntry(id roster.ID, proof roster.Proof) roster.Entry {
-	return roster.Entry{Name: id.Name, Start: id.Start, Gone: id.Start, Proof: proof}
+	return roster.Entry{Name: id.Name, Start: id.Start, GoneStart: id.Start, Proof: proof}
 }
 
 // merge merges entries, with the planted defect if it is ProofUndone.
@@ -224,8 +224,8 @@
 	return c
 }
 
-// check checks the invariant: the quotas of the running processes add up to at most the bound.
-func (x *search) check(s state) error {
+// checkInvariant checks the invariant: the quotas of the running processes add up to at most the bound.
+func (x *search) checkInvariant(s state) error {
 	sum, admitted := 0.0, 0
 	var forced []roster.View
 	for i := range x.Slots {
@@ -233,7 +233,7 @@
 		if k.proofUndone {
 			return fmt.Errorf("%s: %w", x.Slots[i].ID.Name, ErrProofUndone)
 		}
-		if !s.slots[i].runs() || !k.view.Admitted && x.Defect != NoAdmission {
+		if !s.slots[i].isRunning() || !k.view.Admitted && x.Defect != NoAdmission {
 			continue
 		}
 		if k.view.Forced {
@@ -256,40 +256,40 @@
 	return nil
 }
 
-// next emits each state that may follow a state.
-func (x *search) next(s state) {
+// emitSuccessors emits each state that may follow a state.
+func (x *search) emitSuccessors(s state) {
 	for i := range x.Slots {
 		switch s.slots[i] {
 		case notStarted:
-			x.start(s, i)
+			x.emitStart(s, i)
 		case crashed:
 		default:
-			x.act(s, i)
+			x.emitLocalSteps(s, i)
 			for j := range x.Slots {
-				if x.reaches(s, i, j) {
-					x.send(s, i, j)
+				if x.canSend(s, i, j) {
+					x.emitMessages(s, i, j)
 				}
 			}
 		}
 	}
-	x.deliver(s)
-	if s.side != 0 {
+	x.emitDelayedMessages(s)
+	if s.partitionSide != 0 {
 		c := s
-		c.side = 0
+		c.partitionSide = 0
 		x.emit(event("heal"), c)
-	} else if s.cuts > 0 {
+	} else if s.partitionsLeft > 0 {
 		for side := uint8(1); side < 1<<(len(x.Slots)-1); side++ { // the last slot is always on the other side
 			c := s
-			c.side, c.cuts = side, s.cuts-1
+			c.partitionSide, c.partitionsLeft = side, s.partitionsLeft-1
 			x.emit(event("cut %05b", int(side)), c)
 		}
 	}
 }
 
-// start emits the state in which the process of a slot has started, if it may.
-func (x *search) start(s state, i int) {
+// emitStart emits the state in which the process of a slot has started, if it may.
+func (x *search) emitStart(s state, i int) {
 	for j, other := range x.Slots {
-		if x.Slots[i].After && other.ID.Name == x.Slots[i].ID.Name && j != i && s.slots[j] != crashed {
+		if x.Slots[i].AfterCrash && other.ID.Name == x.Slots[i].ID.Name && j != i && s.slots[j] != crashed {
 			return
 		}
 	}
@@ -297,59 +297,59 @@
 	x.emit(event("%d starts", i), s)
 }
 
-// act emits what a process does without a message: it crashes, is admitted by timeout, or proves that another one is
+// emitLocalSteps emits what a process does without a message: it crashes, is admitted by timeout, or proves that another one is
 // gone, as soon as that is true.
-func (x *search) act(s state, i int) {
-	if s.crashes > 0 {
+func (x *search) emitLocalSteps(s state, i int) {
+	if s.crashesLeft > 0 {
 		c := s
-		c.slots[i], c.crashes = crashed, s.crashes-1
+		c.slots[i], c.crashesLeft = crashed, s.crashesLeft-1
 		x.emit(event("%d crashes", i), c)
 	}
 	k := x.knowledge[s.slots[i]]
-	if s.forced > 0 && !k.view.Admitted {
+	if s.forcedLeft > 0 && !k.view.Admitted {
 		c := s
-		c.slots[i], c.forced = x.apply(i, step{s.slots[i], admissionTimesOut, 0}), s.forced-1
+		c.slots[i], c.forcedLeft = x.apply(i, step{s.slots[i], admissionTimesOut, 0}), s.forcedLeft-1
 		x.emit(event("%d is admitted by timeout", i), c)
 	}
 	for j := range x.Slots {
 		if k.present&(1<<j) != 0 && j != i && (s.slots[j] == crashed || x.Defect == TrustDetector) {
-			x.move(s, i, step{s.slots[i], proveGone, int32(j)}, event("%d proves %d gone", i, j))
+			x.emitStep(s, i, step{s.slots[i], proveGone, int32(j)}, event("%d proves %d gone", i, j))
 		}
 	}
 }
 
-// move emits the state after a step of one slot, unless the step changes nothing.
-func (x *search) move(s state, i int, p step, what eventLabel) {
+// emitStep emits the state after a step of one slot, unless the step changes nothing.
+func (x *search) emitStep(s state, i int, p step, what eventLabel) {
 	if id := x.apply(i, p); id != s.slots[i] {
 		s.slots[i] = id
 		x.emit(what, s)
 	}
 }
 
-// reaches reports whether a message from one slot may come to another: one of them knows the other, or has it as a seed.
-func (x *search) reaches(s state, i, j int) bool {
-	cutOff := s.side != 0 && (s.side>>i^s.side>>j)&1 != 0
-	if i == j || !s.slots[i].runs() || !s.slots[j].runs() || cutOff {
+// canSend reports whether a message from one slot may come to another: one of them knows the other, or has it as a seed.
+func (x *search) canSend(s state, i, j int) bool {
+	cutOff := s.partitionSide != 0 && (s.partitionSide>>i^s.partitionSide>>j)&1 != 0
+	if i == j || !s.slots[i].isRunning() || !s.slots[j].isRunning() || cutOff {
 		return false
 	}
 	return x.knowledge[s.slots[i]].names&(1<<j) != 0 || x.knowledge[s.slots[j]].names&(1<<i) != 0 ||
 		x.Slots[i].Seeds&(1<<j) != 0 || x.Slots[j].Seeds&(1<<i) != 0
 }
 
-// send emits what one process may send to another: messages that arrive at once, and messages that stay in flight.
-func (x *search) send(s state, i, j int) {
+// emitMessages emits what one process may emitMessages to another: messages that arrive at once, and messages that stay in flight.
+func (x *search) emitMessages(s state, i, j int) {
 	sender := s.slots[i]
-	x.move(s, j, step{s.slots[j], receiveEntries, int32(sender)}, event("%d sends its entries to %d", i, j))
-	x.move(s, j, step{s.slots[j], receiveDigest, int32(sender)}, event("%d acknowledges %d", i, j))
+	x.emitStep(s, j, step{s.slots[j], receiveEntries, int32(sender)}, event("%d sends its entries to %d", i, j))
+	x.emitStep(s, j, step{s.slots[j], receiveDigest, int32(sender)}, event("%d acknowledges %d", i, j))
 	for all := x.knowledge[sender].present; all != 0; all &= all - 1 {
 		m := bits.TrailingZeros8(all)
-		x.move(s, j, step{s.slots[j], receiveOneEntry, int32(m)}, event("%d sends entry %d to %d", i, m, j))
+		x.emitStep(s, j, step{s.slots[j], receiveOneEntry, int32(m)}, event("%d sends entry %d to %d", i, m, j))
 	}
-	for n := range x.Late {
-		if s.late[n].kind == 0 {
+	for n := range x.DelayedMessages {
+		if s.delayed[n].kind == 0 {
 			for _, kind := range []stepKind{receiveEntries, receiveDigest} {
 				c := s
-				c.late[n] = lateMessage{kind, sender, uint8(j)}
+				c.delayed[n] = delayedMessage{kind, sender, uint8(j)}
 				x.emit(event("%d sends %d a message (%d) that is late", i, j, int(kind)), c)
 			}
 			break
@@ -357,13 +357,13 @@
 	}
 }
 
-// deliver emits the arrival of late messages. They stay in flight, as they may be duplicated, and may also come to
+// emitDelayedMessages emits the arrival of late messages. They stay in flight, as they may be duplicated, and may also come to
 // another process of the receiver's name.
-func (x *search) deliver(s state) {
-	for _, m := range s.late {
+func (x *search) emitDelayedMessages(s state) {
+	for _, m := range s.delayed {
 		for i := range x.Slots {
-			if m.kind != 0 && s.slots[i].runs() && x.Slots[i].ID.Name == x.Slots[m.to].ID.Name {
-				x.move(s, i, step{s.slots[i], m.kind, int32(m.sender)}, event("late message at %d", i))
+			if m.kind != 0 && s.slots[i].isRunning() && x.Slots[i].ID.Name == x.Slots[m.to].ID.Name {
+				x.emitStep(s, i, step{s.slots[i], m.kind, int32(m.sender)}, event("late message at %d", i))
 			}
 		}
 	}
--- a/internal/membership/roster/roster.go
+++ b/internal/membership/roster/roster.go
@@ -20,20 +20,20 @@
 
 // Roster is what one process knows of its fleet. It is not safe for concurrent use.
 type Roster struct {
-	options    Options
-	self       ID
-	left       bool // this process said that it left
-	byName     map[string]*nameGroup
-	coexisting map[string]*nameGroup // names with several present processes
-	entryCount int
-	goneOrder  []goneRecord // oldest first; may hold processes that were forgotten since
-	goneCount  uint64       // processes that were ever proved gone
+	options      Options
+	self         ID
+	left         bool // this process said that it left
+	byName       map[string]*nameGroup
+	coexisting   map[string]*nameGroup // names with several present processes
+	entryCount   int
+	proofRecords []proofRecord // oldest first; may hold processes that were forgotten since
+	proofCount   uint64        // processes that were ever proved gone
 
 	totals totals
 
 	admitted, forced bool
 	admitDeadline    time.Duration
-	lastRequested    ID // the last process that Unacknowledged returned
+	lastListed       ID // the last process that Unacknowledged returned
 }
 
 // totals are sums over all names. Roster.updateTotals keeps them current.
@@ -50,29 +50,29 @@
 
 // nameGroup is what is known of the processes of one name, sorted by start.
 type nameGroup struct {
-	processes     []process
-	goneProcesses int // how many of them are proved gone
+	processes []process
+	goneCount int // how many of them are proved gone
 }
 
-// goneRecord notes that a process was proved gone. Records are numbered in that order.
-type goneRecord struct {
+// proofRecord notes that a process was proved gone. Records are numbered in that order.
+type proofRecord struct {
 	ID
 	sequence uint64
 }
 
 type process struct {
 	ID
-	addr            string
-	proof           Proof  // ProofNone while it is present
-	goneSequence    uint64 // of its goneRecord
-	observer        bool
-	hash            uint64
-	reachable       bool          // by the failure detector's last verdict
-	acked           bool          // it has acknowledged this process
-	ackedByAdmitted bool          // and was admitted when it did
-	ackedByUnforced bool          // and was not Forced
-	reachableSet    time.Duration // when reachable changed last
-	firstSeen       time.Duration
+	addr                 string
+	proof                Proof  // ProofNone while it is present
+	proofSequence        uint64 // of its goneRecord
+	observer             bool
+	hash                 uint64
+	reachable            bool          // by the failure detector's last verdict
+	acknowledged         bool          // it has acknowledged this process
+	acknowledgedAdmitted bool          // and was admitted when it did
+	acknowledgedUnforced bool          // and was not Forced
+	reachableChangedAt   time.Duration // when reachable changed last
+	firstSeenAt          time.Duration
 }
 
 func (p *process) present() bool { return p.proof == ProofNone }
@@ -80,7 +80,7 @@
 func (p *process) entry() Entry {
 	e := Entry{Name: p.Name, Start: p.Start, Proof: p.proof, Addr: p.addr, Observer: p.observer}
 	if !p.present() {
-		e.Gone = p.Start
+		e.GoneStart = p.Start
 	}
 	return e
 }
@@ -104,12 +104,12 @@
 func (r *Roster) startIncarnation(now time.Duration, self ID) {
 	r.self, r.admitted, r.forced = self, false, false
 	r.admitDeadline = now + r.options.AdmitWithin
-	r.lastRequested = self // so that joining processes begin with different ones
+	r.lastListed = self // so that joining processes begin with different ones
 	for _, group := range r.byName {
 		r.updateTotals(group, -1)
 		for i := range group.processes {
 			p := &group.processes[i]
-			p.acked, p.ackedByAdmitted, p.ackedByUnforced = false, false, false
+			p.acknowledged, p.acknowledgedAdmitted, p.acknowledgedUnforced = false, false, false
 		}
 		r.updateTotals(group, 1)
 	}
@@ -164,7 +164,7 @@
 		}
 	}
 	proof := ProofNone
-	if e.Gone > 0 {
+	if e.GoneStart > 0 {
 		proof = max(e.Proof, ProofRefused)
 	}
 	if e.Present() {
@@ -172,8 +172,8 @@
 	} else {
 		merge(e.Start, proof)
 	}
-	if e.Gone > 0 && e.Gone != e.Start {
-		merge(e.Gone, proof)
+	if e.GoneStart > 0 && e.GoneStart != e.Start {
+		merge(e.GoneStart, proof)
 	}
 	return changed
 }
@@ -203,7 +203,7 @@
 	}
 	r.updateTotals(group, -1)
 	if p.present() && update.proof != ProofNone {
-		p.goneSequence = r.recordGone(group, p.ID)
+		p.proofSequence = r.addProofRecord(group, p.ID)
 	}
 	p.addr, p.proof = max(p.addr, update.addr), max(p.proof, update.proof)
 	p.observer = p.observer || update.observer
@@ -216,14 +216,14 @@
 func (r *Roster) insertProcess(now time.Duration, group *nameGroup, index int, update process) *process {
 	if update.proof != ProofNone {
 		latest := index == len(group.processes)
-		nameFull := group.goneProcesses >= r.options.MaxProofsPerName && !latest
+		nameFull := group.goneCount >= r.options.MaxProofsPerName && !latest
 		if r.entryCount >= r.options.MaxEntries || nameFull {
 			return nil
 		}
-		update.goneSequence = r.recordGone(group, update.ID)
+		update.proofSequence = r.addProofRecord(group, update.ID)
 	}
 	r.byName[update.Name] = group
-	update.hash, update.reachableSet, update.firstSeen = hashID(update.ID), now, now
+	update.hash, update.reachableChangedAt, update.firstSeenAt = hashID(update.ID), now, now
 	r.updateTotals(group, -1)
 	group.processes = slices.Insert(group.processes, index, update)
 	r.entryCount++
@@ -231,12 +231,12 @@
 	return &group.processes[index]
 }
 
-// recordGone notes that a process is proved gone, and returns the number of the record.
-func (r *Roster) recordGone(group *nameGroup, id ID) (sequence uint64) {
-	group.goneProcesses++
-	r.goneCount++
-	r.goneOrder = append(r.goneOrder, goneRecord{id, r.goneCount})
-	return r.goneCount
+// addProofRecord notes that a process is proved gone, and returns the number of the record.
+func (r *Roster) addProofRecord(group *nameGroup, id ID) (sequence uint64) {
+	group.goneCount++
+	r.proofCount++
+	r.proofRecords = append(r.proofRecords, proofRecord{id, r.proofCount})
+	return r.proofCount
 }
 
 // search returns the index of a start, or where it would be inserted.
@@ -275,9 +275,9 @@
 		}
 		reachable = reachable || p.reachable
 		t.otherProcesses += delta
-		t.acks += delta * int(boolToByte(p.acked))
-		t.acksByAdmitted += delta * int(boolToByte(p.ackedByAdmitted))
-		t.acksByUnforced += delta * int(boolToByte(p.ackedByUnforced))
+		t.acks += delta * int(boolToByte(p.acknowledged))
+		t.acksByAdmitted += delta * int(boolToByte(p.acknowledgedAdmitted))
+		t.acksByUnforced += delta * int(boolToByte(p.acknowledgedUnforced))
 	}
 	if member {
 		t.memberNames += delta
@@ -300,47 +300,47 @@
 func (r *Roster) enforceBounds(merged []Entry) {
 	for _, e := range merged {
 		group := r.byName[e.Name]
-		for group != nil && group.goneProcesses > r.options.MaxProofsPerName {
-			r.forget(group, group.firstGone())
+		for group != nil && group.goneCount > r.options.MaxProofsPerName {
+			r.evict(group, group.oldestProof())
 		}
 	}
-	for len(r.goneOrder) > 0 && r.entryCount > r.options.MaxEntries {
-		oldest := r.goneOrder[0]
-		r.goneOrder = r.goneOrder[1:]
+	for len(r.proofRecords) > 0 && r.entryCount > r.options.MaxEntries {
+		oldest := r.proofRecords[0]
+		r.proofRecords = r.proofRecords[1:]
 		if r.isCurrent(oldest) {
 			group := r.byName[oldest.Name]
 			i, _ := group.search(oldest.Start)
-			r.forget(group, i)
+			r.evict(group, i)
 		}
 	}
-	if len(r.goneOrder) > 2*r.options.MaxEntries { // most of them were forgotten by the bound of their name
-		r.goneOrder = slices.DeleteFunc(r.goneOrder, func(g goneRecord) bool { return !r.isCurrent(g) })
+	if len(r.proofRecords) > 2*r.options.MaxEntries { // most of them were forgotten by the bound of their name
+		r.proofRecords = slices.DeleteFunc(r.proofRecords, func(g proofRecord) bool { return !r.isCurrent(g) })
 	}
 }
 
 // isCurrent reports whether a record's process was neither forgotten nor proved gone anew since.
-func (r *Roster) isCurrent(g goneRecord) bool {
+func (r *Roster) isCurrent(g proofRecord) bool {
 	p := r.find(g.ID)
-	return p != nil && p.goneSequence == g.sequence
+	return p != nil && p.proofSequence == g.sequence
 }
 
-// firstGone returns the index of the process that was proved gone first, or -1 if none was.
-func (g *nameGroup) firstGone() int {
+// oldestProof returns the index of the process that was proved gone first, or -1 if none was.
+func (g *nameGroup) oldestProof() int {
 	first := -1
 	for i := range g.processes {
-		if p := &g.processes[i]; !p.present() && (first < 0 || p.goneSequence < g.processes[first].goneSequence) {
+		if p := &g.processes[i]; !p.present() && (first < 0 || p.proofSequence < g.processes[first].proofSequence) {
 			first = i
 		}
 	}
 	return first
 }
 
-// forget removes a process that is proved gone.
-func (r *Roster) forget(group *nameGroup, index int) {
+// evict removes a process that is proved gone.
+func (r *Roster) evict(group *nameGroup, index int) {
 	name := group.processes[index].Name
 	r.updateTotals(group, -1)
 	group.processes = slices.Delete(group.processes, index, index+1)
-	group.goneProcesses--
+	group.goneCount--
 	r.entryCount--
 	r.updateTotals(group, 1)
 	if len(group.processes) == 0 {
@@ -360,7 +360,7 @@
 	if p := r.find(id); p != nil && p.reachable != reachable {
 		group := r.byName[id.Name]
 		r.updateTotals(group, -1)
-		p.reachable, p.reachableSet = reachable, now
+		p.reachable, p.reachableChangedAt = reachable, now
 		r.updateTotals(group, 1)
 	}
 }
--- a/internal/membership/roster/roster_admission.go
+++ b/internal/membership/roster/roster_admission.go
@@ -22,18 +22,18 @@
 	return r.totals.presentDigest&^digestFlags | admitted | unforced
 }
 
-// Acknowledged handles another process's digest. If it matches, that process knows all that this one knows, and this
+// HandleDigest handles another process's digest. If it matches, that process knows all that this one knows, and this
 // one among them. It returns false if they differ and should exchange their knowledge.
-func (r *Roster) Acknowledged(by ID, digest uint64) bool {
+func (r *Roster) HandleDigest(by ID, digest uint64) bool {
 	if (digest^r.totals.presentDigest)&^digestFlags != 0 {
 		return false
 	}
 	if p := r.find(by); p != nil && by != r.self {
 		group := r.byName[by.Name]
 		r.updateTotals(group, -1)
-		p.acked = true
-		p.ackedByAdmitted = p.ackedByAdmitted || digest&digestAdmitted != 0
-		p.ackedByUnforced = p.ackedByUnforced || digest&digestUnforced != 0
+		p.acknowledged = true
+		p.acknowledgedAdmitted = p.acknowledgedAdmitted || digest&digestAdmitted != 0
+		p.acknowledgedUnforced = p.acknowledgedUnforced || digest&digestUnforced != 0
 		r.updateTotals(group, 1)
 		r.updateAdmission()
 	}
@@ -66,14 +66,14 @@
 		return nil
 	}
 	all := r.selectOthers(func(p *process) bool {
-		return !p.observer && (!p.acked || r.totals.acksByUnforced == 0)
+		return !p.observer && (!p.acknowledged || r.totals.acksByUnforced == 0)
 	})
 	slices.SortFunc(all, func(a, b *process) int {
-		return cmp.Or(roundRobinKey(a.ID, r.lastRequested)-roundRobinKey(b.ID, r.lastRequested), compareIDs(a.ID, b.ID))
+		return cmp.Or(roundRobinKey(a.ID, r.lastListed)-roundRobinKey(b.ID, r.lastListed), compareIDs(a.ID, b.ID))
 	})
 	all = all[:min(len(all), max(limit, 0))]
 	if len(all) > 0 {
-		r.lastRequested = all[len(all)-1].ID
+		r.lastListed = all[len(all)-1].ID
 	}
 	return toEntries(all)
 }
--- a/internal/membership/roster/roster_clone.go
+++ b/internal/membership/roster/roster_clone.go
@@ -13,12 +13,12 @@
 	c := *r
 	c.byName, c.coexisting = make(map[string]*nameGroup, len(r.byName)), maps.Clone(r.coexisting)
 	for name, group := range r.byName {
-		c.byName[name] = &nameGroup{slices.Clone(group.processes), group.goneProcesses}
+		c.byName[name] = &nameGroup{slices.Clone(group.processes), group.goneCount}
 		if c.coexisting[name] != nil {
 			c.coexisting[name] = c.byName[name]
 		}
 	}
-	c.goneOrder = slices.Clone(r.goneOrder)
+	c.proofRecords = slices.Clone(r.proofRecords)
 	return &c
 }
 
@@ -35,7 +35,7 @@
 			b = binary.AppendVarint(b, p.Start)
 			b = append(b, byte(p.proof))
 			if acksMatter && p.present() {
-				b = append(b, boolToByte(p.acked)|boolToByte(p.ackedByAdmitted)<<1|boolToByte(p.ackedByUnforced)<<2)
+				b = append(b, boolToByte(p.acknowledged)|boolToByte(p.acknowledgedAdmitted)<<1|boolToByte(p.acknowledgedUnforced)<<2)
 			}
 		}
 		b = append(b, 0)
--- a/internal/membership/roster/roster_test.go
+++ b/internal/membership/roster/roster_test.go
@@ -22,7 +22,7 @@
 }
 
 func goneEntry(name string, start int64, p Proof) Entry {
-	return Entry{Name: name, Start: start, Gone: start, Proof: p}
+	return Entry{Name: name, Start: start, GoneStart: start, Proof: p}
 }
 
 // acknowledgeAll exchanges all entries between the rosters, and then their digests.
@@ -31,7 +31,7 @@
 		for _, r := range all {
 			for _, q := range all {
 				r.Merge(now, q.Entries()...)
-				r.Acknowledged(q.Self(), q.Digest())
+				r.HandleDigest(q.Self(), q.Digest())
 			}
 		}
 	}
@@ -40,10 +40,10 @@
 func drawEntries(t *rapid.T) []Entry {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
 		return Entry{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
-			Start: rapid.Int64Range(1, 14).Draw(t, "start"),
-			Gone:  rapid.Int64Range(0, 14).Draw(t, "gone"),
-			Proof: Proof(rapid.IntRange(0, 4).Draw(t, "proof")),
-			Addr:  rapid.SampledFrom([]string{"", "x:1", "y:1"}).Draw(t, "addr")}
+			Start:     rapid.Int64Range(1, 14).Draw(t, "start"),
+			GoneStart: rapid.Int64Range(0, 14).Draw(t, "gone"),
+			Proof:     Proof(rapid.IntRange(0, 4).Draw(t, "proof")),
+			Addr:      rapid.SampledFrom([]string{"", "x:1", "y:1"}).Draw(t, "addr")}
 	}), 0, 40).Draw(t, "entries")
 }
 
@@ -77,8 +77,8 @@
 	r := newRoster("a", 1)
 	long := string(make([]byte, 65))
 	assert.Empty(t, r.Merge(0, Entry{Start: 1}, Entry{Name: long, Start: 1}, Entry{Name: "b"}, Entry{Name: "b", Start: -1},
-		Entry{Name: "b", Start: 1, Gone: -1}, Entry{Name: "b", Start: math.MaxInt64},
-		Entry{Name: "a", Start: 1, Gone: math.MaxInt64}, Entry{Name: "b", Start: 1, Addr: string(make([]byte, 300))}))
+		Entry{Name: "b", Start: 1, GoneStart: -1}, Entry{Name: "b", Start: math.MaxInt64},
+		Entry{Name: "a", Start: 1, GoneStart: math.MaxInt64}, Entry{Name: "b", Start: 1, Addr: string(make([]byte, 300))}))
 	assert.Equal(t, View{Known: 1, Reachable: 1}, r.View(0))
 }
 
@@ -107,15 +107,15 @@
 	d.Merge(0, a.Entries()...)
 	assert.Equal(t, []string{"a", "b"}, names(d.Unacknowledged(2)))
 	assert.Equal(t, []string{"c", "a"}, names(d.Unacknowledged(2)), "successive calls go round")
-	assert.False(t, d.Acknowledged(a.Self(), a.Digest()), "a does not know d")
+	assert.False(t, d.HandleDigest(a.Self(), a.Digest()), "a does not know d")
 	for _, r := range []*Roster{a, b} {
 		r.Merge(0, d.Entries()...)
-		assert.True(t, d.Acknowledged(r.Self(), r.Digest()))
+		assert.True(t, d.HandleDigest(r.Self(), r.Digest()))
 	}
 	assert.False(t, d.View(0).Admitted)
 	assert.Equal(t, []string{"c"}, names(d.Unacknowledged(9)))
 	c.Merge(0, d.Entries()...)
-	assert.True(t, d.Acknowledged(c.Self(), c.Digest()))
+	assert.True(t, d.HandleDigest(c.Self(), c.Digest()))
 	assert.True(t, d.View(0).Admitted)
 }
 
@@ -182,7 +182,7 @@
 	next := New(0, Options{Self: ID{Name: "a", Start: 9}, Peers: 2, AdmitWithin: admitWithin})
 	next.Merge(0, b.Entries()...)
 	b.Merge(0, next.Entries()...)
-	next.Acknowledged(b.Self(), b.Digest())
+	next.HandleDigest(b.Self(), b.Digest())
 	assert.False(t, next.View(0).Admitted, "the earlier process has not acknowledged it")
 	assert.True(t, a.View(0).Admitted)
 	acknowledgeAll(0, a, b, next)
@@ -190,17 +190,17 @@
 	assert.True(t, next.View(0).Admitted)
 	assert.Equal(t, 2, b.View(0).Known, "an upgrade adds no name")
 	b.SetReachable(0, a.Self(), true)
-	assert.Equal(t, View{Known: 2, Reachable: 2, Admitted: true}, b.View(upgradeTime))
-	assert.Equal(t, View{Known: 3, Reachable: 3, Admitted: true}, b.View(upgradeTime+1), "duplicates")
+	assert.Equal(t, View{Known: 2, Reachable: 2, Admitted: true}, b.View(upgradeGracePeriod))
+	assert.Equal(t, View{Known: 3, Reachable: 3, Admitted: true}, b.View(upgradeGracePeriod+1), "duplicates")
 
 	b.Merge(0, goneEntry("a", 9, ProofRefused)) // the upgrade failed
-	assert.Equal(t, View{Known: 2, Reachable: 2, Admitted: true}, b.View(upgradeTime+1), "the earlier one counts")
+	assert.Equal(t, View{Known: 2, Reachable: 2, Admitted: true}, b.View(upgradeGracePeriod+1), "the earlier one counts")
 	a.Merge(0, b.Entries()...)
 	assert.Equal(t, ID{Name: "a", Start: 1}, a.Self())
 	assert.True(t, a.View(0).Admitted)
 }
 
-const upgradeTime = 10 * time.Second
+const upgradeGracePeriod = 10 * time.Second
 
 func TestBounds_Entries(t *testing.T) {
 	r := New(0, Options{Self: ID{Name: "self", Start: 1}, MaxEntries: 20, AdmitWithin: admitWithin})
@@ -323,7 +323,7 @@
 	assert.Equal(t, View{Known: 1, Reachable: 1}, joining.View(0))
 	assert.Empty(t, joining.Unacknowledged(9))
 	assert.Equal(t, View{Known: 1, Reachable: 1}, observer.View(time.Hour), "never admitted")
-	joining.Merge(0, Entry{Name: "w", Start: 1, Gone: 1, Proof: ProofRefused})
+	joining.Merge(0, Entry{Name: "w", Start: 1, GoneStart: 1, Proof: ProofRefused})
 	assert.Empty(t, joining.Unreachable())
 	assert.Equal(t, View{Known: 1, Reachable: 1}, joining.View(0))
 }
@@ -337,7 +337,7 @@
 			r.SetReachable(0, id, true)
 		}
 	}
-	for _, now := range []time.Duration{0, upgradeTime + 1} {
+	for _, now := range []time.Duration{0, upgradeGracePeriod + 1} {
 		assert.Equal(t, View{Known: 2, Reachable: 2, Admitted: true}, a.View(now), "an observer takes over no quota")
 		assert.Equal(t, View{Known: 2, Reachable: 2, Admitted: true}, b.View(now))
 		assert.Equal(t, View{Known: 2, Reachable: 2}, observer.View(now))
@@ -346,5 +346,5 @@
 	b.Merge(0, Entry{Name: "a", Start: 5})
 	b.SetReachable(0, ID{"a", 1}, false)
 	b.SetReachable(0, ID{"a", 5}, true)
-	assert.Equal(t, 2, b.View(2*upgradeTime).Known)
+	assert.Equal(t, 2, b.View(2*upgradeGracePeriod).Known)
 }
--- a/internal/membership/roster/roster_view.go
+++ b/internal/membership/roster/roster_view.go
@@ -38,11 +38,11 @@
 		if !p.present() || p.observer {
 			continue
 		}
-		togetherSince := max(p.reachableSet, laterSince)
+		togetherSince := max(p.reachableChangedAt, laterSince)
 		if (p.reachable || p.ID == self) && now-togetherSince > upgradeGracePeriod {
 			duplicates++
 		}
-		laterSince = min(laterSince, p.firstSeen)
+		laterSince = min(laterSince, p.firstSeenAt)
 	}
 	return duplicates
 }
@@ -72,7 +72,7 @@
 func (r *Roster) Unreachable() []Entry {
 	all := r.selectOthers(func(p *process) bool { return !p.reachable })
 	slices.SortFunc(all, func(a, b *process) int {
-		return cmp.Or(cmp.Compare(a.reachableSet, b.reachableSet), compareIDs(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.reachableChangedAt, b.reachableChangedAt), compareIDs(a.ID, b.ID))
 	})
 	return toEntries(all)
 }
--- a/internal/membership/roster/types.go
+++ b/internal/membership/roster/types.go
@@ -39,21 +39,21 @@
 type Entry struct {
 	Name  string
 	Start int64
-	// Gone is an incarnation of this name that is proved gone, or 0. The entry's own process is gone if Gone is at least
+	// GoneStart is an incarnation of this name that is proved gone, or 0. The entry's own process is gone if GoneStart is at least
 	// Start.
-	Gone  int64
-	Proof Proof  // of Gone
-	Addr  string // HOST:PORT; empty if not known
+	GoneStart int64
+	Proof     Proof  // of Gone
+	Addr      string // HOST:PORT; empty if not known
 	// Observer marks a process that is present and takes no part in the fleet's budgets. Once set it stays set.
 	Observer bool
 }
 
 // Present reports whether this process is not proved gone. It may be unreachable.
-func (e Entry) Present() bool { return e.Start > e.Gone }
+func (e Entry) Present() bool { return e.Start > e.GoneStart }
 
 func (e Entry) valid() bool {
 	return len(e.Name) > 0 && len(e.Name) <= maxNameBytes && len(e.Addr) <= maxAddrBytes &&
-		e.Start > 0 && e.Start <= maxStart && e.Gone >= 0 && e.Gone <= maxStart
+		e.Start > 0 && e.Start <= maxStart && e.GoneStart >= 0 && e.GoneStart <= maxStart
 }
 
 // Options configure a roster.
--- a/internal/membership/transport/guard.go
+++ b/internal/membership/transport/guard.go
@@ -32,9 +32,9 @@
 
 var errOversized = errors.New("announces more than it may bring")
 
-// mayExpand reports whether a packet is compressed, or has a compressed or compound message inside a compound one. No
+// isCompressedOrNested reports whether a packet is compressed, or has a compressed or compound message inside a compound one. No
 // member sends those.
-func mayExpand(b []byte) bool {
+func isCompressedOrNested(b []byte) bool {
 	if len(b) >= 2 && b[0] == typeLabel {
 		b = b[min(2+int(b[1]), len(b)):]
 	}
--- a/internal/membership/transport/stream.go
+++ b/internal/membership/transport/stream.go
@@ -19,7 +19,7 @@
 	lastDeadline time.Time // no deadline is later
 	release      func()
 	closeOnce    sync.Once
-	checked      io.Reader // set by the first read; only for readers
+	reader       io.Reader // set by the first read; only for readers
 
 	mu            sync.Mutex
 	readDeadline  time.Time // set by its user, at most lastDeadline
@@ -58,14 +58,14 @@
 
 // Read reads from the stream, unless its header announces more than the limit. Only one goroutine may read at a time.
 func (s *stream) Read(b []byte) (int, error) {
-	if s.checked == nil {
-		from, err := s.checkedReader()
+	if s.reader == nil {
+		checked, err := s.checkedReader()
 		if err != nil {
 			return 0, err
 		}
-		s.checked = from
+		s.reader = checked
 	}
-	return s.checked.Read(b)
+	return s.reader.Read(b)
 }
 
 // readBounded reads within the limits of bytes and time.
@@ -75,20 +75,20 @@
 	if s.readDeadline.Before(deadline) {
 		deadline, reason = s.readDeadline, "" // the user's own deadline is no drop
 		if deadline.Equal(s.lastDeadline) {
-			reason = droppedLate
+			reason = droppedLifetime
 		}
 	}
-	left := s.readableBytes
+	remaining := s.readableBytes
 	err := s.Conn.SetReadDeadline(deadline)
 	s.mu.Unlock()
 	if err != nil {
 		return 0, err
 	}
-	if left == 0 {
-		s.transport.dropped(droppedLong)
+	if remaining == 0 {
+		s.transport.dropped(droppedTooLong)
 		return 0, fmt.Errorf("read from %v: %w", s.RemoteAddr(), errors.Join(errStreamTooLong, s.Close()))
 	}
-	n, err := s.Conn.Read(b[:min(int64(len(b)), left)])
+	n, err := s.Conn.Read(b[:min(int64(len(b)), remaining)])
 	s.mu.Lock()
 	s.readableBytes -= int64(n)
 	s.mu.Unlock()
@@ -102,11 +102,11 @@
 // Write writes within the limit of bytes.
 func (s *stream) Write(b []byte) (int, error) {
 	s.mu.Lock()
-	left := s.writableBytes
-	s.writableBytes -= min(left, int64(len(b)))
+	remaining := s.writableBytes
+	s.writableBytes -= min(remaining, int64(len(b)))
 	s.mu.Unlock()
-	if int64(len(b)) > left {
-		s.transport.dropped(droppedLong)
+	if int64(len(b)) > remaining {
+		s.transport.dropped(droppedTooLong)
 		return 0, fmt.Errorf("write %d bytes to %v: %w", len(b), s.RemoteAddr(), errors.Join(errStreamTooLong, s.Close()))
 	}
 	return s.Conn.Write(b)
--- a/internal/membership/transport/transport.go
+++ b/internal/membership/transport/transport.go
@@ -46,12 +46,12 @@
 // Reasons for which a packet or a stream is dropped. They are values of a metric's label.
 const (
 	droppedNetwork   = "network" // the other end lies in none of the networks
-	droppedLong      = "long"    // more bytes than its limit
+	droppedTooLong   = "long"    // more bytes than its limit
 	droppedEmpty     = "empty"   // a packet without bytes
 	droppedIdle      = "idle"    // nothing arrived within idleTimeout
-	droppedLate      = "late"    // the stream did not end within streamLifetime
+	droppedLifetime  = "late"    // the stream did not end within streamLifetime
 	droppedOversized = "swollen" // it announces more than its limit, or is compressed
-	droppedStreams   = "streams" // maxStreams are open
+	droppedNoSlot    = "streams" // maxStreams are open
 )
 
 // Config configures a transport.
@@ -60,7 +60,7 @@
 	Advertise string // HOST:PORT that others call, port 0: the bound one; empty: the bound address
 	Networks  []netip.Prefix
 	Log       *slog.Logger
-	Dropped   func(reason string) // called for each drop, from many goroutines; may be nil
+	OnDrop    func(reason string) // called for each drop, from many goroutines; may be nil
 }
 
 // Transport carries memberlist's packets and streams.
@@ -101,7 +101,7 @@
 
 // openWithLimits is Open with limits that tests choose.
 func openWithLimits(cfg Config, l limits) (*Transport, error) {
-	t := &Transport{limits: l, networks: cfg.Networks, log: cfg.Log, dropped: cfg.Dropped,
+	t := &Transport{limits: l, networks: cfg.Networks, log: cfg.Log, dropped: cfg.OnDrop,
 		packetCh: make(chan *memberlist.Packet), streamCh: make(chan net.Conn), slots: make(chan struct{}, l.maxStreams),
 		streams: map[*stream]struct{}{}}
 	if t.log == nil {
@@ -117,7 +117,7 @@
 		return nil, errors.Join(fmt.Errorf("advertise %q: %w", cfg.Advertise, err), t.tcp.Close(), t.udp.Close())
 	}
 	// Members recognize each other by their addresses, so calls come from the bound one.
-	t.dialer = net.Dialer{KeepAlive: -1, Control: choosePortLate}
+	t.dialer = net.Dialer{KeepAlive: -1, Control: deferPortChoice}
 	if ip := t.bound.Addr(); !ip.IsUnspecified() {
 		t.dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0))
 	}
@@ -127,9 +127,9 @@
 	return t, nil
 }
 
-// choosePortLate has the system choose the local port when the call connects, so that calls to different addresses may
+// deferPortChoice has the system choose the local port when the call connects, so that calls to different addresses may
 // share a port. Where the system does not support it, each call takes a port of its own.
-func choosePortLate(_, _ string, c syscall.RawConn) error {
+func deferPortChoice(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
 	})
@@ -149,9 +149,9 @@
 			return err
 		}
 		t.tcp = listener.Wrap(tcp, "members", t.log)
-		got := t.tcp.Addr().(*net.TCPAddr).AddrPort()
-		if t.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(got)); err == nil {
-			t.bound = netip.AddrPortFrom(got.Addr().Unmap(), got.Port())
+		bound := t.tcp.Addr().(*net.TCPAddr).AddrPort()
+		if t.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(bound)); err == nil {
+			t.bound = netip.AddrPortFrom(bound.Addr().Unmap(), bound.Port())
 			_ = t.udp.SetReadBuffer(1 << 20) // the system may allow less
 			return nil
 		}
@@ -281,8 +281,8 @@
 	limiter retry.LogLimiter
 }
 
-// backOff waits after a failed read of a packet. It returns false if the transport has ended.
-func (t *Transport) backOff(failures *readFailures, err error) bool {
+// waitAfterReadFailure waits after a failed read of a packet. It returns false if the transport has ended.
+func (t *Transport) waitAfterReadFailure(failures *readFailures, err error) bool {
 	if t.ctx.Err() != nil {
 		return false
 	}
@@ -299,7 +299,7 @@
 		n, from, err := t.udp.ReadFromUDPAddrPort(buf)
 		at := time.Now()
 		if err != nil {
-			if !t.backOff(&failures, err) {
+			if !t.waitAfterReadFailure(&failures, err) {
 				return
 			}
 			continue
@@ -309,10 +309,10 @@
 		case !InNetworks(t.networks, from.Addr()):
 			t.dropped(droppedNetwork)
 		case n > t.maxPacketBytes:
-			t.dropped(droppedLong)
+			t.dropped(droppedTooLong)
 		case n == 0:
 			t.dropped(droppedEmpty)
-		case mayExpand(buf[:n]):
+		case isCompressedOrNested(buf[:n]):
 			t.dropped(droppedOversized)
 		default:
 			from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
@@ -341,7 +341,7 @@
 			continue
 		}
 		if !t.acquireSlot() {
-			t.dropped(droppedStreams)
+			t.dropped(droppedNoSlot)
 			_ = conn.Close()
 			continue
 		}
--- a/internal/membership/transport/transport_test.go
+++ b/internal/membership/transport/transport_test.go
@@ -37,7 +37,7 @@
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) })
 	drops := make(chan string, 1000)
-	cfg := Config{Bind: bind, Dropped: func(reason string) { drops <- reason }}
+	cfg := Config{Bind: bind, OnDrop: func(reason string) { drops <- reason }}
 	for _, n := range networks {
 		cfg.Networks = append(cfg.Networks, netip.MustParsePrefix(n))
 	}
@@ -130,17 +130,17 @@
 func TestTransportPackets(t *testing.T) {
 	tr, drops := openTestTransport(t, "127.0.0.9:0", smallLimits)
 	from, _ := openTestTransport(t, "127.0.0.8:0", defaultLimits)
-	part := func(typ byte) []byte {
+	compound := func(typ byte) []byte {
 		return append([]byte("\xf4\x05fleet\x0c...."), typeCompound, 2, 0, 1, 0, 2, 3, typ, 0)
 	}
-	for _, b := range [][]byte{make([]byte, 101), {}, make([]byte, 5000), {typeCompressed}, part(typeCompressed),
-		part(typeCompound), {typeCompound}, {typeCompound, 9, 0}, part(typeUser), make([]byte, 100)} {
+	for _, b := range [][]byte{make([]byte, 101), {}, make([]byte, 5000), {typeCompressed}, compound(typeCompressed),
+		compound(typeCompound), {typeCompound}, {typeCompound, 9, 0}, compound(typeUser), make([]byte, 100)} {
 		_, err := from.WriteTo(b, tr.bound.String())
 		require.NoError(t, err)
 	}
-	assert.Len(t, (<-tr.PacketCh()).Buf, len(part(0)), "as members send it")
+	assert.Len(t, (<-tr.PacketCh()).Buf, len(compound(0)), "as members send it")
 	assert.Len(t, (<-tr.PacketCh()).Buf, 100)
-	for _, reason := range []string{droppedLong, droppedEmpty, droppedLong, droppedOversized, droppedOversized, droppedOversized,
+	for _, reason := range []string{droppedTooLong, droppedEmpty, droppedTooLong, droppedOversized, droppedOversized, droppedOversized,
 		droppedOversized, droppedOversized} {
 		assert.Equal(t, reason, <-drops)
 	}
@@ -159,8 +159,8 @@
 		send   func(c net.Conn) error
 	}{
 		{droppedIdle, func(l *limits) { l.idleTimeout = 10 * time.Millisecond }, func(net.Conn) error { return nil }},
-		{droppedLate, func(l *limits) { l.streamLifetime = 10 * time.Millisecond }, func(net.Conn) error { return nil }},
-		{droppedLong, func(*limits) {}, send(string(make([]byte, 5000)))},
+		{droppedLifetime, func(l *limits) { l.streamLifetime = 10 * time.Millisecond }, func(net.Conn) error { return nil }},
+		{droppedTooLong, func(*limits) {}, send(string(make([]byte, 5000)))},
 		{droppedOversized, func(*limits) {}, send("\xf4\x05fleet\x09")},
 		{droppedOversized, func(*limits) {}, send("\x06\x81\xa5Nodes\xce\x00\x01\x00\x00")},
 		{droppedOversized, func(*limits) {}, send("\x06\x93\x01\xcd\x03\xe9\xc3")},
@@ -188,7 +188,7 @@
 	_, err = s.Write(make([]byte, 1001))
 	require.ErrorIs(t, err, errStreamTooLong)
 	require.ErrorIs(t, s.Close(), net.ErrClosed)
-	assert.Equal(t, droppedLong, <-drops)
+	assert.Equal(t, droppedTooLong, <-drops)
 	assert.Empty(t, drops)
 }
 
@@ -212,7 +212,7 @@
 		<-tr.StreamCh()
 	}
 	requireClosed(t, mustDial(t, tr))
-	assert.Equal(t, droppedStreams, <-drops)
+	assert.Equal(t, droppedNoSlot, <-drops)
 }
 
 // Shutdown ends all waits: for the library, for a slot, and for the other end.
@@ -287,7 +287,7 @@
 		failures := readFailures{backoff: retry.NewBackoff()}
 		start := time.Now()
 		for range 35 {
-			assert.True(t, tr.backOff(&failures, unix.ENOBUFS))
+			assert.True(t, tr.waitAfterReadFailure(&failures, unix.ENOBUFS))
 		}
 		assert.Equal(t, 155*time.Millisecond+30*100*time.Millisecond, time.Since(start))
 		assert.Equal(t, 1, strings.Count(text.String(), "\n"), "lines in 3.2 s: %s", text.String())
--- a/internal/membership/view/client.go
+++ b/internal/membership/view/client.go
@@ -29,8 +29,8 @@
 	maxReportBytes     = 16 << 20
 	maxErrorBytes      = 1 << 10 // of an error's text that are kept
 
-	firstRetryPause = 250 * time.Millisecond
-	maxRetryPause   = 10 * time.Second
+	firstRetryDelay = 250 * time.Millisecond
+	maxRetryDelay   = 10 * time.Second
 )
 
 // Client calls processes at their management addresses, or copies of the list service at theirs. Its zero value is
@@ -39,7 +39,7 @@
 	Timeout     time.Duration // for a whole answer; 0: defaultTimeout
 	MaxParallel int           // processes that Observe calls at a time; 0: defaultMaxParallel
 
-	retryPause  time.Duration // before a watch is restarted the first time; 0: firstRetryPause
+	retryDelay  time.Duration // before a watch is restarted the first time; 0: firstRetryPause
 	idleTimeout time.Duration // after which a silent watch is restarted; 0: defaultIdleTimeout
 }
 
@@ -92,12 +92,12 @@
 func (c *Client) fetch(ctx context.Context, method, url string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, orDefault(c.Timeout, defaultTimeout))
 	defer cancel()
-	answer, err := c.open(ctx, method, url, body)
+	responseBody, err := c.open(ctx, method, url, body)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Close()
-	data, err := io.ReadAll(io.LimitReader(answer, maxReportBytes+1))
+	defer responseBody.Close()
+	data, err := io.ReadAll(io.LimitReader(responseBody, maxReportBytes+1))
 	if err == nil && len(data) > maxReportBytes {
 		err = fmt.Errorf("its answer is longer than %d bytes", maxReportBytes)
 	}
@@ -149,16 +149,16 @@
 
 // Observe gets the reports of all processes at once, and once more the given time after the last of them answered, from
 // those that did. The results are in the order of the addresses.
-func (c *Client) Observe(ctx context.Context, addrs []string, apart time.Duration) []Observation {
+func (c *Client) Observe(ctx context.Context, addrs []string, interval time.Duration) []Observation {
 	out := make([]Observation, len(addrs))
 	for i, addr := range addrs {
 		out[i].Addr = addr
 	}
 	c.forEach(out, func(o *Observation) { o.First, o.Err = c.Report(ctx, o.Addr) })
-	pause := time.NewTimer(apart)
-	defer pause.Stop()
+	timer := time.NewTimer(interval)
+	defer timer.Stop()
 	select {
-	case <-pause.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	c.forEach(out, func(o *Observation) {
@@ -191,12 +191,12 @@
 // ctx ends. A watch that ends or is silent is restarted after a growing pause; onFailure is called before the pause. Watch
 // returns an error after an answer with a 4xx status other than 429, and the error of onReport if that fails.
 func (c *Client) Watch(ctx context.Context, addr string, onReport func(*membership.Report, []byte) error,
-	onFailure func(err error, pause time.Duration)) error {
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval, pauses.MaxInterval = orDefault(c.retryPause, firstRetryPause), maxRetryPause
+	onFailure func(err error, delay time.Duration)) error {
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval, retryBackoff.MaxInterval = orDefault(c.retryDelay, firstRetryDelay), maxRetryDelay
 	for {
 		err := c.watchOnce(ctx, addr, func(r *membership.Report, line []byte) error {
-			pauses.Reset()
+			retryBackoff.Reset()
 			return onReport(r, line)
 		})
 		var fromCallback *callbackError
@@ -209,7 +209,7 @@
 		case errors.As(err, &status) && status.Code/100 == 4 && status.Code != http.StatusTooManyRequests:
 			return err
 		}
-		pause := pauses.NextBackOff()
+		pause := retryBackoff.NextBackOff()
 		onFailure(err, pause)
 		timer := time.NewTimer(pause)
 		select {
@@ -237,15 +237,15 @@
 	idleTimeout := orDefault(c.idleTimeout, defaultIdleTimeout)
 	idle := time.AfterFunc(idleTimeout, func() { cancel(errIdle) })
 	defer idle.Stop()
-	answer, err := c.open(ctx, http.MethodGet, "http://"+addr+membersPath+"?watch=1", nil)
+	responseBody, err := c.open(ctx, http.MethodGet, "http://"+addr+membersPath+"?watch=1", nil)
 	if err != nil {
 		if errors.Is(context.Cause(ctx), errIdle) {
 			return errIdle
 		}
 		return err
 	}
-	defer answer.Close()
-	lines := bufio.NewScanner(answer)
+	defer responseBody.Close()
+	lines := bufio.NewScanner(responseBody)
 	lines.Buffer(nil, maxReportBytes)
 	for lines.Scan() {
 		idle.Reset(idleTimeout)
--- a/internal/membership/view/client_test.go
+++ b/internal/membership/view/client_test.go
@@ -51,7 +51,7 @@
 			http.Error(w, "off", http.StatusNotFound)
 		}
 	})
-	c := &Client{retryPause: time.Millisecond, idleTimeout: 50 * time.Millisecond}
+	c := &Client{retryDelay: time.Millisecond, idleTimeout: 50 * time.Millisecond}
 	var changes []uint64
 	var failures []string
 	err := c.Watch(t.Context(), addr, func(r *membership.Report, line []byte) error {
@@ -62,8 +62,8 @@
 	require.ErrorAs(t, err, &status)
 	assert.Equal(t, http.StatusNotFound, status.Code)
 	assert.Equal(t, []uint64{1, 2, 3}, changes)
-	for i, part := range []string{"ended", "nothing came", "no report", "503: busy", "ended"} {
-		assert.Contains(t, failures[i], part)
+	for i, want := range []string{"ended", "nothing came", "no report", "503: busy", "ended"} {
+		assert.Contains(t, failures[i], want)
 	}
 	stop := errors.New("enough")
 	calls.Store(0)
--- a/internal/membership/view/diff.go
+++ b/internal/membership/view/diff.go
@@ -97,7 +97,7 @@
 		for _, m := range moment(&observations[i]).Members {
 			id := roster.ID{Name: m.Name, Start: m.Start}
 			if all[id] == nil {
-				all[id] = unknownViews(observations)
+				all[id] = allUnknown(observations)
 			}
 			all[id][i] = MemberView{Addr: observations[i].Addr, State: m.State, Proof: m.Proof, SinceMS: m.SinceMS}
 		}
@@ -105,8 +105,8 @@
 	return all
 }
 
-// unknownViews returns the views of a member that no process names.
-func unknownViews(observations []Observation) []MemberView {
+// allUnknown returns the views of a member that no process names.
+func allUnknown(observations []Observation) []MemberView {
 	views := make([]MemberView, len(observations))
 	for i := range observations {
 		views[i] = MemberView{Addr: observations[i].Addr, State: Unknown, SinceMS: -1}
@@ -118,7 +118,7 @@
 	if views := all[id]; views != nil {
 		return views
 	}
-	return unknownViews(observations)
+	return allUnknown(observations)
 }
 
 func sameState(a, b MemberView) bool { return a.State == b.State }
@@ -186,22 +186,22 @@
 
 // Changes returns what changed from one report of a process to a later one, by name and start.
 func Changes(before, after []membership.Member) []Change {
-	removed := map[roster.ID]membership.Member{}
+	unmatched := map[roster.ID]membership.Member{}
 	for _, m := range before {
-		removed[idOf(m)] = m
+		unmatched[idOf(m)] = m
 	}
 	var out []Change
 	for _, m := range after {
 		from := Unknown
-		if old, ok := removed[idOf(m)]; ok {
+		if old, ok := unmatched[idOf(m)]; ok {
 			from = old.State
 		}
-		delete(removed, idOf(m))
+		delete(unmatched, idOf(m))
 		if from != m.State {
 			out = append(out, Change{Member: m, From: from, To: m.State})
 		}
 	}
-	for _, m := range removed {
+	for _, m := range unmatched {
 		out = append(out, Change{Member: m, From: m.State, To: Unknown})
 	}
 	slices.SortFunc(out, func(a, b Change) int { return compareIDs(idOf(a.Member), idOf(b.Member)) })
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -23,10 +23,10 @@
 	for name, got := range map[string][]byte{
 		"entries.json": encodeEntries(kindEntries,
 			joining,
-			roster.Entry{Name: "side-2", Start: 5, Gone: 5, Proof: roster.ProofRefused, Addr: "10.1.0.8:7946"},
-			roster.Entry{Name: "side-3", Start: 6, Gone: 6, Proof: roster.ProofAddressReused},
-			roster.Entry{Name: "side-4", Start: 7, Gone: 7, Proof: roster.ProofOperator},
-			roster.Entry{Name: "side-5", Start: 9, Gone: 8, Proof: roster.ProofLeft},
+			roster.Entry{Name: "side-2", Start: 5, GoneStart: 5, Proof: roster.ProofRefused, Addr: "10.1.0.8:7946"},
+			roster.Entry{Name: "side-3", Start: 6, GoneStart: 6, Proof: roster.ProofAddressReused},
+			roster.Entry{Name: "side-4", Start: 7, GoneStart: 7, Proof: roster.ProofOperator},
+			roster.Entry{Name: "side-5", Start: 9, GoneStart: 8, Proof: roster.ProofLeft},
 			roster.Entry{Name: "copy-1", Start: 10, Observer: true}).bytes(),
 		"ask.json":  request.bytes(),
 		"ack.json":  message{Kind: kindAck, By: processID{"side-2", 5}, To: processID{"side-1", 1700000000123}, Digest: 9}.bytes(),
@@ -61,7 +61,7 @@
 	all = append(all, r.Digest())
 	r.Merge(time.Second, roster.Entry{Name: "side-2", Start: 5})
 	all = append(all, r.Digest())
-	r.Acknowledged(roster.ID{Name: "side-2", Start: 5}, r.Digest()|3)
+	r.HandleDigest(roster.ID{Name: "side-2", Start: 5}, r.Digest()|3)
 	return append(all, r.Digest())
 }
 
