--- a/internal/membership/addrcheck/addrcheck.go
+++ b/internal/membership/addrcheck/addrcheck.go
@@ -1,5 +1,5 @@
-// Package addrcheck finds, when a configuration is read, what would keep its process out of the fleet for good. An address
-// that is in use is no such error, as binding is retried.
+// Package addrcheck validates the addresses of a membership configuration when the configuration is read. It reports
+// errors that no retry can resolve. An address in use is not such an error, as binding is retried.
 package addrcheck
 
 import (
@@ -10,8 +10,8 @@
 	"marblelane/internal/membership"
 )
 
-// Check finds what membership.Open would reject at each attempt. It does not look up host names, which may become
-// resolvable later. An error names the key.
+// Check returns an error if membership.Open would reject the configuration at every attempt. It does not resolve host
+// names, which may become resolvable later. The error names the configuration key.
 func Check(c membership.Config) error {
 	if err := c.Check(); err != nil {
 		return err
@@ -29,7 +29,7 @@
 		return nil // a host name
 	}
 	if !ip.IsValid() || ip.IsUnspecified() || ip.IsMulticast() {
-		return fmt.Errorf("members.%s: %q names no address that others can call; advertise has to", key, addr)
+		return fmt.Errorf("members.%s: %q is not an address that other members can reach (set advertise to one)", key, addr)
 	}
 	for _, n := range c.Networks {
 		if n.Contains(ip.Unmap().WithZone("")) {
@@ -37,7 +37,7 @@
 		}
 	}
 	if len(c.Networks) > 0 {
-		return fmt.Errorf("members.%s: %q lies in none of members.networks", key, addr)
+		return fmt.Errorf("members.%s: %q is not in any of members.networks", key, addr)
 	}
 	return nil
 }
--- a/internal/membership/addrcheck/addrcheck_test.go
+++ b/internal/membership/addrcheck/addrcheck_test.go
@@ -21,13 +21,13 @@
 		{"127.0.0.1:0", "", nil, ""},
 		{":7946", "10.1.0.7:0", ten, ""},
 		{"host.invalid:7946", "", ten, ""},
-		{":7946", "", nil, "members.bind: \":7946\" names no address"},
-		{"0.0.0.0:7946", "", nil, "members.bind: \"0.0.0.0:7946\" names no address"},
-		{"[::]:7946", "", nil, "members.bind: \"[::]:7946\" names no address"},
-		{"10.1.0.7:7946", ":7946", nil, "members.advertise: \":7946\" names no address"},
+		{":7946", "", nil, "members.bind: \":7946\" is not an address that other members can reach"},
+		{"0.0.0.0:7946", "", nil, "members.bind: \"0.0.0.0:7946\" is not an address that other members can reach"},
+		{"[::]:7946", "", nil, "members.bind: \"[::]:7946\" is not an address that other members can reach"},
+		{"10.1.0.7:7946", ":7946", nil, "members.advertise: \":7946\" is not an address that other members can reach"},
 		{"224.0.0.1:7946", "", nil, "members.bind: "},
-		{"127.0.0.1:0", "", ten, "members.bind: \"127.0.0.1:0\" lies in none"},
-		{"10.1.0.7:1", "127.0.0.1:1", ten, "members.advertise: \"127.0.0.1:1\" lies in none"},
+		{"127.0.0.1:0", "", ten, "members.bind: \"127.0.0.1:0\" is not in any of members.networks"},
+		{"10.1.0.7:1", "127.0.0.1:1", ten, "members.advertise: \"127.0.0.1:1\" is not in any of members.networks"},
 	} {
 		c := membership.Config{Name: "n", Fleet: "f", Bind: test.bind, Advertise: test.advertise, Networks: test.networks}
 		err := Check(c)
--- a/internal/membership/collect/collect.go
+++ b/internal/membership/collect/collect.go
@@ -1,5 +1,5 @@
-// Package collect exports a membership.Group to Prometheus. It is a package of its own so that a program that exports the
-// figures otherwise does not link that library.
+// Package collect exports the metrics of a membership.Group to Prometheus. It is separate from package membership so
+// that a program that exports these values in another way does not link the Prometheus client library.
 package collect
 
 import (
@@ -11,8 +11,8 @@
 	"marblelane/internal/membership"
 )
 
-// New returns a collector of the metrics members, members_known and so on. The caller registers it under a prefix of its
-// own (prometheus.WrapRegistererWithPrefix).
+// New returns a collector of the metrics members, members_known and so on. The caller registers it with a prefix, see
+// prometheus.WrapRegistererWithPrefix.
 func New(g *membership.Group) prometheus.Collector {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("members"+name, help, labels, nil)
@@ -31,7 +31,8 @@
 	}
 }
 
-// collector reads the group at each collection. The names and help texts of its metrics are those that operators know.
+// collector reads the state of the group at each collection. Dashboards and alerts depend on the names and help texts
+// of its metrics, which differ from the field names for that reason.
 type collector struct {
 	group *membership.Group
 
@@ -47,7 +48,7 @@
 	oldestUnreachable *prometheus.Desc
 }
 
-// Describe sends the descriptions of the metrics.
+// Describe implements prometheus.Collector.
 func (c *collector) Describe(descriptions chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{c.members, c.known, c.reachable, c.estimatedSize, c.admitted, c.changes,
 		c.dropped, c.startsRaised, c.failedJoins, c.oldestUnreachable} {
@@ -55,7 +56,7 @@
 	}
 }
 
-// Collect sends the metrics.
+// Collect implements prometheus.Collector.
 func (c *collector) Collect(metrics chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		metrics <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
--- a/internal/membership/collect/collect_test.go
+++ b/internal/membership/collect/collect_test.go
@@ -11,7 +11,7 @@
 	"marblelane/internal/membership"
 )
 
-// Each metric is exported under the prefix of its registerer.
+// Metrics are exported with the prefix of the registerer.
 func TestCollector(t *testing.T) {
 	g, err := membership.Open(membership.Config{Name: "a", Fleet: "f", Bind: "127.0.0.1:0", Peers: 2})
 	require.NoError(t, err)
--- a/internal/membership/collect/metrics_test.go
+++ b/internal/membership/collect/metrics_test.go
@@ -11,7 +11,8 @@
 	"marblelane/internal/membership"
 )
 
-// TestMetricNames compares names, help texts and labels, which operators' pages use, with a recorded list.
+// TestMetricNames compares the names, help texts and labels of the metrics with a golden file, as dashboards depend on
+// them.
 func TestMetricNames(t *testing.T) {
 	descriptions := make(chan *prometheus.Desc, 100)
 	New((*membership.Group)(nil)).Describe(descriptions)
--- a/internal/membership/roster/model/explore.go
+++ b/internal/membership/roster/model/explore.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// visitedState is a state with the event that led to it.
+// visitedState is a state with the event by which it was first reached.
 type visitedState struct {
 	state  state
 	event  eventLabel
-	parent int32 // index of the state before; -1 for the first
+	parent int32 // index of the previous state; -1 for the initial one
 }
 
-// Explore visits each reachable state of a scenario, breadth first, and returns their number. It stops at the first one
-// that breaks the invariant; the error wraps the violation in the events of the shortest way to it.
+// Explore visits each reachable state of a scenario in breadth-first order and returns the number of states found. It
+// stops at the first violation of the invariant and returns it, wrapped in the events of a shortest path to that state.
 func Explore(scenario Scenario) (states int, err error) {
 	if maxLate := len(state{}.delayed); len(scenario.Slots) > MaxSlots || scenario.DelayedMessages > maxLate {
-		return 0, fmt.Errorf("%d slots and %d late messages: at most %d and %d", len(scenario.Slots), scenario.DelayedMessages,
-			MaxSlots, maxLate)
+		return 0, fmt.Errorf("scenario with %d slots and %d delayed messages: at most %d and %d are supported",
+			len(scenario.Slots), scenario.DelayedMessages, MaxSlots, maxLate)
 	}
 	x := newSearch(scenario)
 	seen := map[state]struct{}{}
--- a/internal/membership/roster/model/fleet.go
+++ b/internal/membership/roster/model/fleet.go
@@ -9,34 +9,36 @@
 	"marblelane/internal/membership/roster"
 )
 
-// Random decides what happens next. math/rand/v2 implements it, and so may a generator that shrinks counterexamples.
+// Random chooses the events of a run. *rand.Rand of math/rand/v2 implements it. A generator that shrinks
+// counterexamples can, too.
 type Random interface {
-	IntN(n int) int // in [0, n)
+	IntN(n int) int // returns a number in [0, n)
 }
 
 // FleetConfig configures a random run.
 type FleetConfig struct {
-	Size        int // processes at the beginning, none of which knows another
-	Peers       int
-	NewNames    int           // names that may join later
-	AdmitWithin time.Duration // 0: nobody is admitted by timeout
+	Size        int           // processes at the start of the run, none of which knows another
+	Peers       int           // roster.Options.Peers of all processes
+	NewNames    int           // number of names that may join later
+	AdmitWithin time.Duration // 0 means no admission by timeout
 	Defect      Defect
-	FalseProofs bool // a running process may be taken for gone
-	// MaxProofsPerName bounds the proofs as in roster.Options. A process whose proof is forgotten may be present again.
+	FalseProofs bool // running processes may be proved gone
+	// MaxProofsPerName is that of roster.Options. If it is set, a process whose proof was evicted may become present
+	// again.
 	MaxProofsPerName int
 }
 
-// Fleet is a set of processes, each with a roster and the balancer's estimate of the fleet's size, in one random run.
+// Fleet is a set of processes in one random run. Each has a roster and the balancer's estimate of the fleet's size.
 type Fleet struct {
 	FleetConfig
 	random      Random
 	now         time.Duration
-	processes   []*process // all that ever started
-	inFlight    []message
-	names       int
+	processes   []*process // all processes that were started, in this order
+	inFlight    []message  // messages that were sent and may still arrive
+	names       int        // number of names used
 	partitioned bool
-	anyAdmitted bool     // some process was admitted
-	Log         []string // the events so far
+	anyAdmitted bool     // at least one process was admitted during the run
+	Log         []string // the events of the run so far
 }
 
 type process struct {
@@ -44,26 +46,26 @@
 	estimate    balance.FleetEstimate
 	addr        string
 	running     bool
-	leaving     bool          // it has said that it leaves
-	secondSide  bool          // of a cut
-	clockOffset time.Duration // of its clock at the beginning of the run
-	clockRate   float64       // its seconds for each second of the run
+	leaving     bool          // it announced that it leaves, and may still run
+	secondSide  bool          // on the second side of the partition
+	clockOffset time.Duration // its clock at the start of the run
+	clockRate   float64       // seconds of its clock per second of the run
 	view        roster.View
-	gone        map[roster.ID]bool // processes that it knew as gone
-	proofUndone bool               // one of these became present
+	gone        map[roster.ID]bool // whether each process in its roster is proved gone
+	proofUndone bool               // a process that was proved gone became present
 }
 
 type message struct {
 	to      *process
 	by      roster.ID
 	digest  uint64
-	entries []roster.Entry // nil: a digest
+	entries []roster.Entry // nil if the message carries the digest
 }
 
-// neverAdmit stands for no admission by timeout, in nanoseconds.
+// neverAdmit is an AdmitWithin, in nanoseconds, that no run reaches.
 const neverAdmit = 1 << 50
 
-// NewFleet starts the first processes.
+// NewFleet returns a fleet with FleetConfig.Size running processes.
 func NewFleet(c FleetConfig, random Random) *Fleet {
 	if c.AdmitWithin == 0 {
 		c.AdmitWithin = neverAdmit
@@ -88,12 +90,12 @@
 	return p
 }
 
-// clock returns the time that a process's clock shows.
+// clock returns the time of a process's clock.
 func (f *Fleet) clock(p *process) time.Duration {
 	return p.clockOffset + time.Duration(p.clockRate*float64(f.now))
 }
 
-// Step plays one random event. It returns an error if the invariant is broken then.
+// Step performs one random event and checks the invariant.
 func (f *Fleet) Step() error {
 	f.runRandomEvent()
 	return f.CheckInvariant()
@@ -103,7 +105,7 @@
 	f.Log = append(f.Log, fmt.Sprintf(format, args...))
 }
 
-// runRandomEvent draws one of 256 equally likely numbers, each of which stands for an event of a random process.
+// runRandomEvent performs a random event of a random process. The bounds of the cases are weights out of 256.
 func (f *Fleet) runRandomEvent() {
 	p := f.pick(func(p *process) bool { return p.running })
 	if p == nil {
@@ -149,19 +151,20 @@
 
 func (f *Fleet) advance(d time.Duration) {
 	f.now += d
-	f.logEvent("%v pass", d)
+	f.logEvent("advance the clock by %v", d)
 }
 
-// togglePartition cuts the fleet in two, or heals it.
+// togglePartition splits the fleet into two sides, or heals the partition.
 func (f *Fleet) togglePartition() {
 	f.partitioned = !f.partitioned
 	for _, p := range f.processes {
 		p.secondSide = f.partitioned && f.random.IntN(2) == 0
 	}
-	f.logEvent("cut: %v", f.partitioned)
+	f.logEvent("partitioned: %v", f.partitioned)
 }
 
-// startRandomProcess starts a process of a new name, or the next process of a name, beside the one before or after it.
+// startRandomProcess starts a process of a new name, or the next process of a known name. The previous process of that
+// name may still be running.
 func (f *Fleet) startRandomProcess(p *process) {
 	waiting, running := 0, 0
 	for _, q := range f.processes {
@@ -173,7 +176,7 @@
 		}
 	}
 	if !f.anyAdmitted || running > f.Size+f.NewNames || waiting >= f.Peers-1 {
-		return // as many joining processes as Peers could take themselves for the fleet
+		return // Peers joining processes could acknowledge each other and count as a complete fleet
 	}
 	if gone := f.pick(func(q *process) bool { return !q.running }); gone != nil && f.random.IntN(8) > 0 {
 		p = gone
@@ -188,7 +191,7 @@
 	f.logEvent("%v starts", q.roster.Self())
 }
 
-// leaveOrCrash has a process say that it leaves, or crash.
+// leaveOrCrash has a process announce that it leaves, or crash.
 func (f *Fleet) leaveOrCrash(p *process) {
 	if f.random.IntN(2) == 0 {
 		self := p.roster.Self()
@@ -201,26 +204,26 @@
 		p.roster.Merge(f.clock(p), left)
 		p.leaving = true
 		f.logEvent("%v leaves", self)
-		return // it may run on for a while
+		return // it may keep running for a while
 	}
 	p.running = false
 	f.logEvent("%v crashes", p.roster.Self())
 }
 
-// setVerdict gives a process a verdict of its failure detector, right or wrong.
+// setVerdict sets a random verdict of a process's failure detector, which may be wrong.
 func (f *Fleet) setVerdict(p *process) {
 	all := p.roster.Entries()
 	e := all[f.random.IntN(len(all))]
 	alive := f.random.IntN(2) == 0
 	id := roster.ID{Name: e.Name, Start: e.Start}
-	f.logEvent("%v detects %v as alive: %v", p.roster.Self(), id, alive)
+	f.logEvent("%v: failure detector reports %v alive: %v", p.roster.Self(), id, alive)
 	if !alive && f.Defect == TrustDetector {
 		f.merge(p, goneEntry(id, roster.ProofRefused))
 	}
 	p.roster.SetReachable(f.clock(p), id, alive)
 }
 
-// proveGone has a process proveGone that another one is gone.
+// proveGone has a process obtain a proof that another one is gone.
 func (f *Fleet) proveGone(p *process) {
 	gone := f.pick(func(q *process) bool { return q != p && (!q.running || f.FalseProofs) })
 	if gone == nil {
@@ -231,8 +234,9 @@
 	f.merge(p, goneEntry(id, roster.ProofRefused))
 }
 
-// canSend reports whether a message may be sent: one process knows the other, or one of them is admitted and so may be
-// a seed, or none ever was.
+// canSend reports whether a message from p can reach q. Both must be running, not leaving, and on the same side of the
+// partition. One of them must know the other or be admitted, as only admitted processes serve as seeds. Until the first
+// admission, every process may be a seed.
 func (f *Fleet) canSend(p, q *process) bool {
 	if p == q || !p.running || !q.running || p.leaving || q.leaving || p.secondSide != q.secondSide {
 		return false
@@ -247,7 +251,7 @@
 	})
 }
 
-// send sends all entries of a process, or one entry, or its digest.
+// send sends all entries of p, one entry, or its digest to q. The message may also arrive at once.
 func (f *Fleet) send(p, q *process) {
 	m := message{to: q, by: p.roster.Self(), digest: p.roster.Digest()}
 	all := p.roster.Entries()
@@ -260,14 +264,14 @@
 	}
 	f.logEvent("%v sends %d entries, digest %x to %v", m.by, len(m.entries), m.digest, q.roster.Self())
 	f.inFlight = append(f.inFlight, m)
-	if f.random.IntN(2) == 0 { // at once
+	if f.random.IntN(2) == 0 { // arrives at once, and may arrive again
 		f.receive(m)
 	}
 }
 
-// exchange has two processes exchange all entries, and then acknowledge each other.
+// exchange has two processes merge all entries of each other, and then handle the digest of each other.
 func (f *Fleet) exchange(p, q *process) {
-	f.logEvent("%v and %v exchange", p.roster.Self(), q.roster.Self())
+	f.logEvent("%v and %v exchange entries and digests", p.roster.Self(), q.roster.Self())
 	f.merge(q, p.roster.Entries()...)
 	f.merge(p, q.roster.Entries()...)
 	p.roster.HandleDigest(q.roster.Self(), q.roster.Digest())
@@ -285,7 +289,7 @@
 	case 0: // lost
 		f.inFlight = slices.Delete(f.inFlight, i, i+1)
 		return
-	case 1: // delivered, and will be again
+	case 1: // delivered, and stays in flight as a duplicate
 	default:
 		f.inFlight = slices.Delete(f.inFlight, i, i+1)
 	}
@@ -320,8 +324,8 @@
 	}
 }
 
-// CheckInvariant checks the invariant: the quotas of the running processes that are not Forced add up to at most 1, and a process
-// that another one knows as gone does not become present for it again.
+// CheckInvariant checks that the quotas of the running processes that are not Forced add up to at most 1, and that no
+// roster lists a process as present after it listed it as gone.
 func (f *Fleet) CheckInvariant() error {
 	if i := slices.IndexFunc(f.processes, func(p *process) bool { return p.proofUndone }); i >= 0 {
 		return fmt.Errorf("%v: %w", f.processes[i].roster.Self(), ErrProofUndone)
@@ -332,8 +336,8 @@
 	return nil
 }
 
-// QuotaSum updates each running process's estimate of the fleet's size and returns the sum of the quotas, with or without those
-// of Forced processes.
+// QuotaSum updates the estimate of the fleet's size of each running process and returns the sum of their quotas. The
+// quotas of Forced processes are included if forced is set.
 func (f *Fleet) QuotaSum(forced bool) float64 {
 	sum := 0.0
 	for _, p := range f.processes {
@@ -357,15 +361,16 @@
 	return sum
 }
 
-// ConvergedState is what a fleet converges to without further faults.
+// ConvergedState is the state that a fleet reaches without further faults.
 type ConvergedState struct {
-	Names      int // names with a running process
-	Admitted   int // admitted processes
-	Duplicates int // processes that run together with a later one of their name
-	Sum        float64
+	Names      int     // number of names with a running process
+	Admitted   int     // number of admitted processes
+	Duplicates int     // number of running processes beyond one per name
+	Sum        float64 // sum of the quotas of all running processes
 }
 
-// Converge heals the cut, ends the leaving processes, and has all exchange all knowledge, true proofs included.
+// Converge heals the partition, ends the leaving processes, and has all processes exchange their entries and learn of
+// every ended process by a proof.
 func (f *Fleet) Converge() (r ConvergedState) {
 	f.partitioned, f.inFlight = false, nil
 	for _, p := range f.processes {
--- a/internal/membership/roster/model/model_test.go
+++ b/internal/membership/roster/model/model_test.go
@@ -17,7 +17,7 @@
 
 func slot(name string, start int64) Slot { return Slot{ID: roster.ID{Name: name, Start: start}} }
 
-// lateSlot returns a slot whose process starts late, with the first slots as its seeds.
+// lateSlot returns a slot whose process joins later, with the first seeds slots as its seeds.
 func lateSlot(name string, start int64, seeds int) Slot {
 	return Slot{ID: roster.ID{Name: name, Start: start}, JoinsLater: true, Seeds: 1<<seeds - 1}
 }
@@ -35,7 +35,7 @@
 	return append(three[:3:3], restarted)
 }
 
-// withAllSeeds returns the slots with all of them as seeds of each.
+// withAllSeeds returns the slots, each with all slots as its seeds.
 func withAllSeeds(slots ...Slot) []Slot {
 	slots = slices.Clone(slots)
 	for i := range slots {
@@ -44,7 +44,7 @@
 	return slots
 }
 
-// boundPerForced is the bound that holds: 1, and the quota of each forced process.
+// boundPerForced returns 1 plus the quota of each forced process. This bound always holds.
 func boundPerForced(forced []roster.View, _ int) float64 {
 	bound := 1.0
 	for _, v := range forced {
@@ -53,7 +53,8 @@
 	return bound
 }
 
-// boundFullyKnown is the bound where the forced processes know all others, or Peers counts them.
+// boundFullyKnown returns the bound that holds if the forced processes know all others, or Peers includes all of them:
+// each forced process then adds at most its share of all admitted processes.
 func boundFullyKnown(forced []roster.View, admitted int) float64 {
 	return 1 + float64(len(forced))/float64(admitted+len(forced))
 }
@@ -86,7 +87,7 @@
 	}
 }
 
-// The cases in which the invariant does not hold are found.
+// The exploration finds the documented cases in which the invariant does not hold.
 func TestExplore_KnownLimits(t *testing.T) {
 	for name, scenario := range map[string]Scenario{
 		"one forced that knows nobody": {Slots: oneJoining, Peers: 3, ForcedAdmissions: 1, Bound: boundFullyKnown},
@@ -99,8 +100,8 @@
 	}
 }
 
-// Each of three joining processes was acknowledged by another process of the fleet, and then the whole fleet crashes: each
-// of the three takes a half.
+// A known limit: each of three joining processes is acknowledged by a different process of the fleet, and then the
+// whole fleet crashes. None of the three knows the others, so each takes half of the budget.
 func TestLimit_AcknowledgersCrash(t *testing.T) {
 	newRoster := func(name string) *roster.Roster {
 		return roster.New(0, roster.Options{Self: roster.ID{Name: name, Start: 1}, Peers: 3, AdmitWithin: time.Hour})
@@ -129,7 +130,7 @@
 	}
 }
 
-// rapidRandom draws from rapid, which shrinks counterexamples.
+// rapidRandom draws the numbers from rapid, which shrinks counterexamples.
 type rapidRandom struct{ *rapid.T }
 
 func (r rapidRandom) IntN(n int) int { return rapid.IntRange(0, n-1).Draw(r.T, "random") }
@@ -139,8 +140,8 @@
 	return FleetConfig{Size: size, Peers: size, NewNames: random.IntN(size), Defect: d, AdmitWithin: admitWithin}
 }
 
-// checkRandomRun plays a random run. An estimate that falls although half are unreachable (IgnoreUnreachable) breaks nothing here,
-// as all proofs are true; the estimate is slow for the sake of false proofs.
+// checkRandomRun performs a random run and returns the first violation of the invariant. The defect IgnoreUnreachable
+// causes none, as all proofs are correct here: the estimate falls slowly only to limit the effect of false proofs.
 func checkRandomRun(random Random, maxProofsPerName int) error {
 	defect := []Defect{None, IgnoreUnreachable}[random.IntN(2)]
 	config := randomConfig(random, defect, []time.Duration{0, 5 * time.Second}[random.IntN(2)])
@@ -157,13 +158,14 @@
 func TestFleet_Invariant(t *testing.T) {
 	for seed := range uint64(100) {
 		for proofs := range 3 {
-			require.NoError(t, checkRandomRun(rand.New(rand.NewPCG(seed, 2)), proofs), "seed %d, %d proofs of a name", seed, proofs)
+			require.NoError(t, checkRandomRun(rand.New(rand.NewPCG(seed, 2)), proofs), "seed %d, at most %d proofs per name", seed, proofs)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) { require.NoError(t, checkRandomRun(rapidRandom{t}, 0)) })
 }
 
-// Without further faults all processes know each other and take the whole, those that were falsely proved gone included.
+// Without further faults all processes know each other and their quotas add up to 1, even if some were falsely proved
+// gone.
 func TestFleet_Converges(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -171,7 +173,7 @@
 		c.FalseProofs = seed%2 == 1
 		f := NewFleet(c, random)
 		for range 500 {
-			_ = f.Step() // false proofs break the invariant
+			_ = f.Step() // ignored: false proofs violate the invariant
 		}
 		settled := f.Converge()
 		assert.Equal(t, settled.Names, settled.Admitted, "seed %d: %+v", seed, settled)
--- a/internal/membership/roster/model/norace_test.go
+++ b/internal/membership/roster/model/norace_test.go
@@ -2,5 +2,5 @@
 
 package model_test
 
-// raceDetector reports whether the race detector is on, which makes tests several times slower.
+// raceDetector is true in builds with the race detector, under which the tests run several times slower.
 const raceDetector = false
--- a/internal/membership/roster/model/scenario.go
+++ b/internal/membership/roster/model/scenario.go
@@ -1,7 +1,8 @@
-// Package model checks rosters against the invariant of docs/membership.md in two ways: Explore visits all interleavings
-// of a small fleet, and Fleet follows one long random run of a larger one. In both, messages may be lost, duplicated,
-// delayed and reordered, the fleet may be cut in two, processes crash, restart and join late, and the failure detector
-// gives any verdict. Proofs that a process is gone are true, unless FleetConfig.FalseProofs is set.
+// Package model checks rosters against the invariant of docs/membership.md in two ways: Explore visits every
+// interleaving of events of a small fleet, and Fleet performs one long random run of a larger fleet. In both, messages
+// may be lost, duplicated, delayed and reordered, the fleet may be partitioned, processes crash, restart and join late,
+// and the failure detector reports arbitrary verdicts. Proofs that a process is gone are correct unless
+// FleetConfig.FalseProofs is set.
 package model
 
 import (
@@ -11,54 +12,56 @@
 	"marblelane/internal/membership/roster"
 )
 
-// Defect is a fault that is planted to see that the checks find it.
+// Defect is a fault planted into the model to verify that the checks detect it.
 type Defect int
 
-// The defects.
+// The planted defects.
 const (
-	None              Defect = iota
-	TrustDetector            // a process that the failure detector takes for dead counts as proved gone
-	NoAdmission              // a joining process counts itself in at once
-	ProofUndone              // a later report that a process is present undoes the proof that it is gone
-	IgnoreUnreachable        // a count falls although half or more are unreachable; of a Fleet only
+	None              Defect = iota // no defect
+	TrustDetector                   // a verdict of the failure detector that a process is dead proves it gone
+	NoAdmission                     // a joining process takes a quota before it is admitted
+	ProofUndone                     // a report that a process is present deletes the proof that it is gone
+	IgnoreUnreachable               // the estimated size falls although half or more are unreachable; only for a Fleet
 )
 
 const (
-	// MaxSlots is how many processes a scenario may have, those that join later included.
+	// MaxSlots is the maximum number of processes of a scenario, including those that join later.
 	MaxSlots = 5
-	// sumTolerance allows for the rounding of sums of fractions.
+	// sumTolerance is the allowed rounding error of a sum of quotas.
 	sumTolerance = 1e-9
-	// admitWithin is the admission time in a scenario, whose clock stands still otherwise.
+	// admitWithin is Options.AdmitWithin in a scenario. Time stands still there except for an admission by timeout.
 	admitWithin = time.Second
 )
 
-// Errors that the checks return.
+// Violations of the invariant.
 var (
-	ErrQuotaExceeded = errors.New("the quotas add up to more than allowed")
-	ErrProofUndone   = errors.New("a process that was proved gone is present again")
+	ErrQuotaExceeded = errors.New("sum of quotas exceeds the bound")
+	ErrProofUndone   = errors.New("process became present again after it was proved gone")
 )
 
-// Slot holds one process of a scenario.
+// Slot describes one process of a scenario.
 type Slot struct {
 	ID         roster.ID
-	JoinsLater bool  // it is not present at the beginning
-	AfterCrash bool  // it starts only after all others of its name have crashed
-	Seeds      uint8 // bit set of the slots that it may contact without knowing them
+	JoinsLater bool  // not running in the initial state
+	AfterCrash bool  // starts only after all other processes of its name have crashed
+	Seeds      uint8 // bit set of the slots that it may contact even if it does not know them
 }
 
-// Scenario says which processes there are and how often each fault may happen. At the beginning those that are not Late
-// know each other and are admitted, unless Strangers is set: then nobody knows anybody.
+// Scenario lists the processes of a fleet and bounds the number of faults. In the initial state the processes without
+// JoinsLater know each other and are admitted, unless ColdStart is set.
 type Scenario struct {
 	Slots            []Slot
 	Peers            int
-	ColdStart        bool
-	Partitions       int // each into any two sides, healed at any time
-	Crashes          int
-	DelayedMessages  int // messages that may arrive at any later time, any number of times; others arrive at once or never
-	ForcedAdmissions int // processes that may be admitted by timeout
+	ColdStart        bool // initially no process knows another one, and none is admitted
+	Partitions       int  // number of partitions, each with any two sides; may heal at any time
+	Crashes          int  // number of crashes
+	DelayedMessages  int  // messages that may arrive later and repeatedly; others arrive at once or are lost
+	ForcedAdmissions int  // number of admissions by timeout
 	Defect           Defect
-	// MaxProofsPerName bounds the proofs as in roster.Options. A process whose proof is forgotten may be present again.
+	// MaxProofsPerName is that of roster.Options. If it is set, a process whose proof was evicted may become present
+	// again.
 	MaxProofsPerName int
-	// Bound returns the largest allowed sum of quotas; nil: 1. Forced processes are part of the sum only if it is set.
+	// Bound returns the maximum sum of quotas, from the views of the Forced processes and the number of other admitted
+	// ones. nil means 1, and that the quotas of Forced processes are not part of the sum.
 	Bound func(forced []roster.View, admitted int) float64
 }
--- a/internal/membership/roster/model/search.go
+++ b/internal/membership/roster/model/search.go
@@ -9,15 +9,16 @@
 	"marblelane/internal/membership/roster"
 )
 
-// state is one state of a scenario. It holds numbers in place of rosters, so that equal states compare equal.
+// state is one state of a scenario. It refers to rosters by number, so that states can be compared and used as map
+// keys.
 type state struct {
 	slots                                   [MaxSlots]knowledgeID
 	delayed                                 [2]delayedMessage
-	partitionSide                           uint8 // bit set of the slots on one side of a cut; 0: no cut
-	partitionsLeft, crashesLeft, forcedLeft uint8 // how many may still happen
+	partitionSide                           uint8 // bit set of the slots on one side; 0 means no partition
+	partitionsLeft, crashesLeft, forcedLeft uint8 // how many of these faults may still happen
 }
 
-// knowledgeID is the index in search.knowledge of what a process knows, or one of the constants.
+// knowledgeID is an index in search.knowledge, or notStarted or crashed.
 type knowledgeID int32
 
 const (
@@ -28,35 +29,36 @@
 
 func (id knowledgeID) isRunning() bool { return id >= firstKnowledgeID }
 
-// stepKind is what a process does, or receives.
+// stepKind is the kind of a step of one process.
 type stepKind uint8
 
 const (
-	receiveEntries    stepKind = iota + 1 // all entries of another process
-	receiveOneEntry                       // one entry of another process
-	receiveDigest                         // another process's digest
-	proveGone                             // the process proves that another one is gone
-	admissionTimesOut                     // the process has waited long enough
+	receiveEntries    stepKind = iota + 1 // the process receives all entries of another process
+	receiveOneEntry                       // the process receives the entry of one process
+	receiveDigest                         // the process receives the digest of another process
+	proveGone                             // the process obtains a proof that another one is gone
+	admissionTimesOut                     // the process is admitted by timeout
 )
 
-// delayedMessage is a message that stays in flight. The zero value is none.
+// delayedMessage is a message that stays in flight. The zero value means no message.
 type delayedMessage struct {
 	kind   stepKind
-	sender knowledgeID // as it was when it sent this
-	to     uint8       // slot
+	sender knowledgeID // the knowledge of the sender when it sent the message
+	to     uint8       // slot of the receiver
 }
 
-// knowledge is the roster in a slot and what follows from it.
+// knowledge is a roster of one slot, with values derived from it.
 type knowledge struct {
 	roster        *roster.Roster
 	entries       []roster.Entry
 	view          roster.View
-	present, gone uint8 // bit sets of the slots whose processes are present or proved gone, by the entries
-	names         uint8 // bit set of the slots of whose names it knows a present process
-	proofUndone   bool
+	present, gone uint8 // bit sets of the slots whose processes are present or proved gone in the entries
+	names         uint8 // bit set of the slots whose name has a present process in the entries
+	proofUndone   bool  // a process was proved gone before, and the entries list it as present
 }
 
-// eventLabel names an event and the slots that took part. It is formatted only for the trace of a violation.
+// eventLabel is the format and the arguments of an event's description. It is formatted only in the trace of a
+// violation.
 type eventLabel struct {
 	format string
 	args   [3]uint8
@@ -79,21 +81,21 @@
 	return fmt.Sprintf(l.format, args...)
 }
 
-// step is one step of a process that knows what from says. The meaning of arg depends on the kind: a knowledgeID for
-// receiveEntries and receiveDigest, a slot for receiveOneEntry and proveGone.
+// step is one step of a process. Its arg is a knowledgeID (of the sender) for receiveEntries and receiveDigest, a slot
+// for receiveOneEntry and proveGone, and 0 for admissionTimesOut.
 type step struct {
-	before knowledgeID
+	before knowledgeID // knowledge of the process before the step
 	kind   stepKind
 	arg    int32
 }
 
-// search walks through a scenario. The result of each step is computed once.
+// search enumerates the states of a scenario. It computes the result of each step once.
 type search struct {
 	Scenario
-	knowledge []knowledge // by knowledgeID
-	ids       map[string]knowledgeID
+	knowledge []knowledge            // indexed by knowledgeID
+	ids       map[string]knowledgeID // by slot, proofUndone and key of the roster
 	results   map[step]knowledgeID
-	emit      func(event eventLabel, s state)
+	emit      func(event eventLabel, s state) // receives each successor of a state, and the event that leads to it
 }
 
 func newSearch(scenario Scenario) *search {
@@ -106,7 +108,7 @@
 		MaxProofsPerName: x.MaxProofsPerName})
 }
 
-// initialState returns the state at the beginning.
+// initialState returns the initial state of the scenario.
 func (x *search) initialState() state {
 	s := state{partitionsLeft: uint8(x.Partitions), crashesLeft: uint8(x.Crashes), forcedLeft: uint8(x.ForcedAdmissions)}
 	var started []*roster.Roster
@@ -126,7 +128,7 @@
 	return s
 }
 
-// acknowledgeAll has all rosters exchange their entries and acknowledge each other.
+// acknowledgeAll merges the entries of all rosters into each, and has all rosters acknowledge each other.
 func acknowledgeAll(rosters []*roster.Roster) {
 	for _, r := range rosters {
 		for _, q := range rosters {
@@ -141,7 +143,7 @@
 	}
 }
 
-// intern returns the number of the knowledge in a slot, which was derived from the previous one.
+// intern returns the ID of the knowledge with roster r in a slot. previous is the knowledge before the step.
 func (x *search) intern(slot int, r *roster.Roster, previous knowledge) knowledgeID {
 	k := knowledge{roster: r, entries: r.Entries(), view: r.Clone().View(0)}
 	for _, e := range k.entries {
@@ -170,7 +172,7 @@
 	return 0
 }
 
-// apply returns what the process in a slot knows after a step.
+// apply returns the knowledge of the process in a slot after a step.
 func (x *search) apply(slot int, s step) knowledgeID {
 	if id, known := x.results[s]; known {
 		return id
@@ -199,7 +201,8 @@
 	return roster.Entry{Name: id.Name, Start: id.Start, GoneStart: id.Start, Proof: proof}
 }
 
-// merge merges entries, with the planted defect if it is ProofUndone.
+// merge merges entries into r and returns the result. If the planted defect is ProofUndone, it deletes contradicted
+// proofs.
 func (x *search) merge(r *roster.Roster, entries ...roster.Entry) *roster.Roster {
 	if x.Defect == ProofUndone {
 		r = withoutProofs(r, 0, entries, roster.Options{Self: r.Self(), Peers: x.Peers, AdmitWithin: admitWithin})
@@ -208,7 +211,7 @@
 	return r
 }
 
-// withoutProofs returns the roster without the proofs against the processes that the entries report as present.
+// withoutProofs returns the roster without the proofs of processes that the entries report as present.
 func withoutProofs(r *roster.Roster, now time.Duration, entries []roster.Entry, o roster.Options) *roster.Roster {
 	contradicted := func(e roster.Entry) bool {
 		return !e.Present() && slices.ContainsFunc(entries, func(reported roster.Entry) bool {
@@ -224,7 +227,8 @@
 	return c
 }
 
-// checkInvariant checks the invariant: the quotas of the running processes add up to at most the bound.
+// checkInvariant checks that the quotas of the running processes add up to at most the bound, and that no proof was
+// undone.
 func (x *search) checkInvariant(s state) error {
 	sum, admitted := 0.0, 0
 	var forced []roster.View
@@ -251,12 +255,12 @@
 		bound = x.Bound(forced, admitted)
 	}
 	if sum > bound+sumTolerance {
-		return fmt.Errorf("%w: %.4f, not %.4f", ErrQuotaExceeded, sum, bound)
+		return fmt.Errorf("%w: sum %.4f, bound %.4f", ErrQuotaExceeded, sum, bound)
 	}
 	return nil
 }
 
-// emitSuccessors emits each state that may follow a state.
+// emitSuccessors emits each state that may follow s.
 func (x *search) emitSuccessors(s state) {
 	for i := range x.Slots {
 		switch s.slots[i] {
@@ -276,17 +280,18 @@
 	if s.partitionSide != 0 {
 		c := s
 		c.partitionSide = 0
-		x.emit(event("heal"), c)
+		x.emit(event("partition heals"), c)
 	} else if s.partitionsLeft > 0 {
-		for side := uint8(1); side < 1<<(len(x.Slots)-1); side++ { // the last slot is always on the other side
+		// The sides are interchangeable, so the last slot is always on the other side.
+		for side := uint8(1); side < 1<<(len(x.Slots)-1); side++ {
 			c := s
 			c.partitionSide, c.partitionsLeft = side, s.partitionsLeft-1
-			x.emit(event("cut %05b", int(side)), c)
+			x.emit(event("partition with side %05b", int(side)), c)
 		}
 	}
 }
 
-// emitStart emits the state in which the process of a slot has started, if it may.
+// emitStart emits the state in which the process of slot i has started, unless AfterCrash prevents its start.
 func (x *search) emitStart(s state, i int) {
 	for j, other := range x.Slots {
 		if x.Slots[i].AfterCrash && other.ID.Name == x.Slots[i].ID.Name && j != i && s.slots[j] != crashed {
@@ -297,8 +302,8 @@
 	x.emit(event("%d starts", i), s)
 }
 
-// emitLocalSteps emits what a process does without a message: it crashes, is admitted by timeout, or proves that another one is
-// gone, as soon as that is true.
+// emitLocalSteps emits the states after each step of a process without a message: it crashes, is admitted by timeout,
+// or proves that another process has crashed. With TrustDetector it may prove any process gone.
 func (x *search) emitLocalSteps(s state, i int) {
 	if s.crashesLeft > 0 {
 		c := s
@@ -318,7 +323,7 @@
 	}
 }
 
-// emitStep emits the state after a step of one slot, unless the step changes nothing.
+// emitStep emits the state after a step of slot i, unless the step changes nothing.
 func (x *search) emitStep(s state, i int, p step, what eventLabel) {
 	if id := x.apply(i, p); id != s.slots[i] {
 		s.slots[i] = id
@@ -326,7 +331,8 @@
 	}
 }
 
-// canSend reports whether a message from one slot may come to another: one of them knows the other, or has it as a seed.
+// canSend reports whether a message from slot i can reach slot j. One of them must know a present process of the
+// other's name or have the other as a seed.
 func (x *search) canSend(s state, i, j int) bool {
 	cutOff := s.partitionSide != 0 && (s.partitionSide>>i^s.partitionSide>>j)&1 != 0
 	if i == j || !s.slots[i].isRunning() || !s.slots[j].isRunning() || cutOff {
@@ -336,7 +342,7 @@
 		x.Slots[i].Seeds&(1<<j) != 0 || x.Slots[j].Seeds&(1<<i) != 0
 }
 
-// emitMessages emits what one process may emitMessages to another: messages that arrive at once, and messages that stay in flight.
+// emitMessages emits the states after a message from slot i to slot j, which arrives at once or stays in flight.
 func (x *search) emitMessages(s state, i, j int) {
 	sender := s.slots[i]
 	x.emitStep(s, j, step{s.slots[j], receiveEntries, int32(sender)}, event("%d sends its entries to %d", i, j))
@@ -350,20 +356,20 @@
 			for _, kind := range []stepKind{receiveEntries, receiveDigest} {
 				c := s
 				c.delayed[n] = delayedMessage{kind, sender, uint8(j)}
-				x.emit(event("%d sends %d a message (%d) that is late", i, j, int(kind)), c)
+				x.emit(event("%d sends %d a delayed message of kind %d", i, j, int(kind)), c)
 			}
 			break
 		}
 	}
 }
 
-// emitDelayedMessages emits the arrival of late messages. They stay in flight, as they may be duplicated, and may also come to
-// another process of the receiver's name.
+// emitDelayedMessages emits the states after the arrival of a delayed message. Such a message stays in flight, as it
+// may be duplicated, and may also arrive at another process of the receiver's name.
 func (x *search) emitDelayedMessages(s state) {
 	for _, m := range s.delayed {
 		for i := range x.Slots {
 			if m.kind != 0 && s.slots[i].isRunning() && x.Slots[i].ID.Name == x.Slots[m.to].ID.Name {
-				x.emitStep(s, i, step{s.slots[i], m.kind, int32(m.sender)}, event("late message at %d", i))
+				x.emitStep(s, i, step{s.slots[i], m.kind, int32(m.sender)}, event("delayed message arrives at %d", i))
 			}
 		}
 	}
--- a/internal/membership/roster/roster.go
+++ b/internal/membership/roster/roster.go
@@ -9,52 +9,52 @@
 const (
 	defaultMaxEntries       = 4096
 	defaultMaxProofsPerName = 64
-	// upgradeGracePeriod is how long two processes of one name may be present together before they count as two.
+	// upgradeGracePeriod is how long two processes of one name may run side by side before they count as two.
 	upgradeGracePeriod = 10 * time.Second
 
-	// Bounds of the entries that other processes send.
+	// Bounds on the fields of received entries, beyond which an entry is invalid.
 	maxNameBytes = 64
 	maxAddrBytes = 255
 	maxStart     = 1 << 53 // the largest integer that JSON numbers carry exactly
 )
 
-// Roster is what one process knows of its fleet. It is not safe for concurrent use.
+// Roster holds what one process knows about its fleet. It is not safe for concurrent use.
 type Roster struct {
 	options      Options
 	self         ID
-	left         bool // this process said that it left
+	left         bool // this process announced that it left
 	byName       map[string]*nameGroup
-	coexisting   map[string]*nameGroup // names with several present processes
+	coexisting   map[string]*nameGroup // names with more than one present process
 	entryCount   int
-	proofRecords []proofRecord // oldest first; may hold processes that were forgotten since
-	proofCount   uint64        // processes that were ever proved gone
+	proofRecords []proofRecord // oldest first; includes records that are no longer current (see isCurrent)
+	proofCount   uint64        // records ever added
 
 	totals totals
 
 	admitted, forced bool
 	admitDeadline    time.Duration
-	lastListed       ID // the last process that Unacknowledged returned
+	lastListed       ID // the last process that Unacknowledged returned; the next call continues after it
 }
 
 // totals are sums over all names. Roster.updateTotals keeps them current.
 type totals struct {
-	presentDigest  uint64 // exclusive or of the hashes of all present processes
-	memberNames    int    // names that are not an observer's
-	presentNames   int    // of these, names with a present process
-	reachableNames int    // of these, names with a reachable process, or this process
-	otherProcesses int    // present processes without this one
-	acks           int    // of these, processes that have acknowledged this one
-	acksByAdmitted int    // of these, processes that were admitted when they did
-	acksByUnforced int    // of these, processes that were not Forced when they did
+	presentDigest  uint64 // XOR of the hashes of all present processes
+	memberNames    int    // names with a process that is no observer
+	presentNames   int    // names in memberNames with a present process
+	reachableNames int    // names in presentNames with a reachable process, or of this process
+	otherProcesses int    // present processes other than this one, without observers
+	acks           int    // processes in otherProcesses that have acknowledged this one
+	acksByAdmitted int    // processes in acks that were admitted when they acknowledged
+	acksByUnforced int    // processes in acks that were admitted and not Forced when they acknowledged
 }
 
-// nameGroup is what is known of the processes of one name, sorted by start.
+// nameGroup holds the known processes of one name.
 type nameGroup struct {
-	processes []process
-	goneCount int // how many of them are proved gone
+	processes []process // in ascending order of start
+	goneCount int       // the number of processes that are proved gone
 }
 
-// proofRecord notes that a process was proved gone. Records are numbered in that order.
+// proofRecord records that a process was proved gone. The sequence numbers give the order of eviction.
 type proofRecord struct {
 	ID
 	sequence uint64
@@ -64,14 +64,14 @@
 	ID
 	addr                 string
 	proof                Proof  // ProofNone while it is present
-	proofSequence        uint64 // of its goneRecord
+	proofSequence        uint64 // sequence number of its proofRecord; 0 while it is present
 	observer             bool
 	hash                 uint64
-	reachable            bool          // by the failure detector's last verdict
+	reachable            bool          // the last verdict of the failure detector
 	acknowledged         bool          // it has acknowledged this process
-	acknowledgedAdmitted bool          // and was admitted when it did
-	acknowledgedUnforced bool          // and was not Forced
-	reachableChangedAt   time.Duration // when reachable changed last
+	acknowledgedAdmitted bool          // it was admitted when it acknowledged this process
+	acknowledgedUnforced bool          // it was admitted and not Forced when it acknowledged this process
+	reachableChangedAt   time.Duration // when reachable last changed
 	firstSeenAt          time.Duration
 }
 
@@ -85,7 +85,7 @@
 	return e
 }
 
-// New returns a roster that knows only its own process.
+// New returns a roster whose only entry is its own process.
 func New(now time.Duration, o Options) *Roster {
 	o.Peers = max(o.Peers, 1)
 	if o.MaxEntries <= 0 {
@@ -100,11 +100,11 @@
 	return r
 }
 
-// startIncarnation makes this process a joining one with the given start.
+// startIncarnation resets this process to a joining one with the given ID, which no process has acknowledged.
 func (r *Roster) startIncarnation(now time.Duration, self ID) {
 	r.self, r.admitted, r.forced = self, false, false
 	r.admitDeadline = now + r.options.AdmitWithin
-	r.lastListed = self // so that joining processes begin with different ones
+	r.lastListed = self // so that joining processes begin with different peers
 	for _, group := range r.byName {
 		r.updateTotals(group, -1)
 		for i := range group.processes {
@@ -116,22 +116,23 @@
 	r.mergeProcess(now, process{ID: self, addr: r.options.Addr, observer: r.options.Observer})
 }
 
-// Merge adds what another process or the caller knows, and returns the entries that changed, for the caller to send to
-// others. Invalid entries are ignored.
+// Merge adds entries of another process or of the caller. It returns the entries that changed, which the caller sends
+// to other processes. Invalid entries are ignored.
 //
-// Up to the bounds it is a join: the same entries, in any order and any number of times, give the same knowledge.
-// Beyond them (MaxEntries entries, or MaxProofsPerName proofs of one name) it holds that:
+// Within the bounds, merging is commutative, associative and idempotent. If there are more than MaxEntries entries or
+// MaxProofsPerName proofs of one name, the following holds:
 //
-//   - a present process is never forgotten;
-//   - a process that is reported as present, and of which no proof is kept, is added;
-//   - a process that is known as gone stays so as long as its proof is kept;
-//   - a proof is forgotten after all earlier proofs of its name, or of the whole roster;
-//   - a proof of an unknown process is ignored if another would be forgotten for it, unless it is its name's latest.
+//   - a present process is never evicted;
+//   - a process that is reported as present is added unless its proof is kept;
+//   - a process that is proved gone remains so as long as its proof is kept;
+//   - a proof is evicted after all earlier proofs of its name or of the whole roster;
+//   - a proof of an unknown process is ignored if it would evict another proof, unless it is for the latest process of
+//     its name.
 //
-// Two processes that received the same entries may therefore keep different proofs. A process whose proof is forgotten
-// counts again if somebody still reports it as present, until it is proved gone again; quotas get smaller by that,
-// never greater. Where more than MaxProofsPerName processes of one name are reported as present and as gone at the same
-// time, this may repeat for as long as the reports do.
+// Two processes that received the same entries may therefore keep different proofs. A process whose proof was evicted
+// counts again if another process still reports it as present, until it is proved gone again. This makes quotas
+// smaller, never greater. If more than MaxProofsPerName processes of one name are reported both as present and as gone,
+// this can repeat for as long as those reports continue.
 func (r *Roster) Merge(now time.Duration, entries ...Entry) []Entry {
 	var changed []Entry
 	for _, e := range entries {
@@ -152,7 +153,8 @@
 	return changed
 }
 
-// mergeEntry merges an entry and appends what changed. An entry speaks of two processes if Gone is not its Start.
+// mergeEntry merges an entry and appends the resulting entries that changed. If GoneStart is set and differs from
+// Start, the entry describes two processes.
 func (r *Roster) mergeEntry(now time.Duration, e Entry, changed []Entry) []Entry {
 	merge := func(start int64, proof Proof) {
 		update := process{ID: ID{e.Name, start}, proof: proof, observer: e.Observer}
@@ -178,8 +180,8 @@
 	return changed
 }
 
-// nextIncarnation returns this process's name with a start later than all of that name. The offset differs by address,
-// as another process of the name may do the same at the same time.
+// nextIncarnation returns an ID for this process with a start later than those of all processes of its name. The start
+// includes an offset that depends on the address, because another process of the name may do the same concurrently.
 func (r *Roster) nextIncarnation() ID {
 	processes := r.byName[r.self.Name].processes
 	latest := processes[len(processes)-1].Start
@@ -187,7 +189,7 @@
 	return ID{r.self.Name, max(r.self.Start, latest) + 1 + int64(offset)}
 }
 
-// mergeProcess merges an update of one process. It returns what is known of the process now, or nil if nothing changed.
+// mergeProcess merges an update of one process. It returns the updated process, or nil if nothing changed.
 func (r *Roster) mergeProcess(now time.Duration, update process) *process {
 	group := r.byName[update.Name]
 	if group == nil {
@@ -211,8 +213,8 @@
 	return p
 }
 
-// insertProcess adds a process that was not known at its index. It returns nil for a proof beyond the bounds: another
-// one would be forgotten for it, reported again, and so on without an end.
+// insertProcess inserts an unknown process at the given index. It returns nil for a proof beyond the bounds. Such a
+// proof would evict another one, which would then be reported again, and so on forever.
 func (r *Roster) insertProcess(now time.Duration, group *nameGroup, index int, update process) *process {
 	if update.proof != ProofNone {
 		latest := index == len(group.processes)
@@ -231,7 +233,7 @@
 	return &group.processes[index]
 }
 
-// addProofRecord notes that a process is proved gone, and returns the number of the record.
+// addProofRecord records that a process is proved gone, and returns the sequence number of the record.
 func (r *Roster) addProofRecord(group *nameGroup, id ID) (sequence uint64) {
 	group.goneCount++
 	r.proofCount++
@@ -239,7 +241,7 @@
 	return r.proofCount
 }
 
-// search returns the index of a start, or where it would be inserted.
+// search returns the index of the process with the given start and true, or the index to insert it at and false.
 func (g *nameGroup) search(start int64) (int, bool) {
 	return slices.BinarySearchFunc(g.processes, start, func(p process, s int64) int { return cmp.Compare(p.Start, s) })
 }
@@ -253,8 +255,8 @@
 	return nil
 }
 
-// updateTotals adds a name to the totals (delta 1), or removes it (delta -1). A change of a name is made between a
-// removal and an addition.
+// updateTotals adds a name to the totals (delta 1) or subtracts it (delta -1). Every change of a name is enclosed by a
+// subtraction and an addition.
 func (r *Roster) updateTotals(group *nameGroup, delta int) {
 	t := &r.totals
 	present, reachable, member := 0, false, false
@@ -264,7 +266,7 @@
 		if !p.present() {
 			continue
 		}
-		t.presentDigest ^= p.hash // adding twice removes
+		t.presentDigest ^= p.hash // XOR: the second time removes it
 		if p.observer {
 			continue
 		}
@@ -295,8 +297,8 @@
 	}
 }
 
-// enforceBounds forgets the processes that were proved gone first, until the entries are within the bounds. The merged
-// entries name the groups that may have grown.
+// enforceBounds evicts the oldest proofs until the entries are within the bounds. Only the names of the merged entries
+// can exceed MaxProofsPerName.
 func (r *Roster) enforceBounds(merged []Entry) {
 	for _, e := range merged {
 		group := r.byName[e.Name]
@@ -313,18 +315,19 @@
 			r.evict(group, i)
 		}
 	}
-	if len(r.proofRecords) > 2*r.options.MaxEntries { // most of them were forgotten by the bound of their name
+	if len(r.proofRecords) > 2*r.options.MaxEntries { // most records are of proofs evicted by MaxProofsPerName
 		r.proofRecords = slices.DeleteFunc(r.proofRecords, func(g proofRecord) bool { return !r.isCurrent(g) })
 	}
 }
 
-// isCurrent reports whether a record's process was neither forgotten nor proved gone anew since.
+// isCurrent reports whether a record belongs to the proof that is kept now. It does not if that proof was evicted, even
+// if another one was added later.
 func (r *Roster) isCurrent(g proofRecord) bool {
 	p := r.find(g.ID)
 	return p != nil && p.proofSequence == g.sequence
 }
 
-// oldestProof returns the index of the process that was proved gone first, or -1 if none was.
+// oldestProof returns the index of the process with the oldest proof, or -1 if there is no proof.
 func (g *nameGroup) oldestProof() int {
 	first := -1
 	for i := range g.processes {
@@ -335,7 +338,7 @@
 	return first
 }
 
-// evict removes a process that is proved gone.
+// evict deletes a process that is proved gone, together with its proof.
 func (r *Roster) evict(group *nameGroup, index int) {
 	name := group.processes[index].Name
 	r.updateTotals(group, -1)
@@ -348,8 +351,8 @@
 	}
 }
 
-// SetReachable records the failure detector's verdict on a process. Only that it is reachable proves anything, namely
-// that it is present.
+// SetReachable records the verdict of the failure detector on a process. A reachable process that is unknown is added
+// as present. An unreachable one is not proved gone by that.
 func (r *Roster) SetReachable(now time.Duration, id ID, reachable bool) {
 	if id == r.self {
 		return
@@ -369,8 +372,8 @@
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start))
 }
 
-// hashID hashes a process's identity with 64-bit FNV-1a and SplitMix64. Digests of this form are compared between
-// processes, so it is part of the wire form.
+// hashID hashes an ID with 64-bit FNV-1a and SplitMix64. Processes exchange digests made of these hashes, so the
+// function is part of the wire form.
 func hashID(id ID) uint64 {
 	const offsetBasis, prime = 14695981039346656037, 1099511628211
 	h := uint64(offsetBasis)
--- a/internal/membership/roster/roster_admission.go
+++ b/internal/membership/roster/roster_admission.go
@@ -1,29 +1,30 @@
 package roster
 
-// This file decides whether this process is admitted: whether the fleet has acknowledged it.
+// This file decides whether this process is admitted, which requires acknowledgements by the fleet.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// The lowest bits of a digest are the sender's own admission.
+// Flags in the lowest bits of a digest. They describe the admission of the sender.
 const (
-	digestAdmitted = 1 << iota
-	digestUnforced // admitted and not Forced
+	digestAdmitted = 1 << iota // the sender is admitted
+	digestUnforced             // the sender is admitted and not Forced
 	digestFlags    = digestAdmitted | digestUnforced
 )
 
-// Digest identifies the set of present processes in its upper bits, which are equal for processes with the same
-// knowledge. Its two lowest bits say whether this process is admitted, and whether it is admitted and not Forced.
+// Digest returns a digest of the set of present processes. Its upper bits are equal for rosters with the same set. Its
+// two lowest bits are digestAdmitted and digestUnforced.
 func (r *Roster) Digest() uint64 {
 	admitted := uint64(boolToByte(r.admitted)) * digestAdmitted
 	unforced := uint64(boolToByte(r.admitted && !r.forced)) * digestUnforced
 	return r.totals.presentDigest&^digestFlags | admitted | unforced
 }
 
-// HandleDigest handles another process's digest. If it matches, that process knows all that this one knows, and this
-// one among them. It returns false if they differ and should exchange their knowledge.
+// HandleDigest compares the digest of another process with that of this one and reports whether they match. A matching
+// digest acknowledges this process: the other one knows the same present processes, including this one. If the digests
+// differ, the two should exchange their entries.
 func (r *Roster) HandleDigest(by ID, digest uint64) bool {
 	if (digest^r.totals.presentDigest)&^digestFlags != 0 {
 		return false
@@ -40,10 +41,10 @@
 	return true
 }
 
-// updateAdmission admits this process once all others have acknowledged it. Acknowledgements of joining processes alone
-// are not enough, as these may know only each other: an admitted process must be among them, or as many names as Peers
-// if that is more than one. A process admitted by Forced ones is Forced itself. Where Peers is 1 it is not, as every
-// fleet starts that way.
+// updateAdmission admits this process once all others have acknowledged it. Acknowledgements by joining processes alone
+// are not sufficient, because these may know only each other. Either one of the others must be admitted, or Peers must
+// be greater than 1 and that many names must be present. A process that only Forced ones admit is Forced itself, unless
+// Peers is 1, because every such fleet starts with a Forced process.
 func (r *Roster) updateAdmission() {
 	t := &r.totals
 	if t.acks == 0 || t.acks < t.otherProcesses {
@@ -59,8 +60,9 @@
 	}
 }
 
-// Unacknowledged returns at most limit of the other present processes that have not acknowledged this one. Successive
-// calls go round among them. It returns none once this process is admitted and not Forced.
+// Unacknowledged returns at most limit of the other present processes whose acknowledgement this process needs.
+// Successive calls return them in round-robin order. It returns none once this process is admitted and not Forced, or
+// if it left or is an observer.
 func (r *Roster) Unacknowledged(limit int) []Entry {
 	if r.admitted && !r.forced || r.left || r.options.Observer {
 		return nil
@@ -78,7 +80,8 @@
 	return toEntries(all)
 }
 
-// roundRobinKey sorts the processes after the last one of the round (0) before the others (1).
+// roundRobinKey returns 0 for the processes ordered after the last listed one, and 1 for those that start the next
+// round.
 func roundRobinKey(id, last ID) int {
 	if compareIDs(id, last) > 0 {
 		return 0
--- a/internal/membership/roster/roster_clone.go
+++ b/internal/membership/roster/roster_clone.go
@@ -1,6 +1,6 @@
 package roster
 
-// This file copies and encodes rosters, for tests that explore every order of events.
+// This file clones and encodes rosters for the state-space exploration in package model.
 
 import (
 	"encoding/binary"
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Clone returns an independent copy.
+// Clone returns a deep copy.
 func (r *Roster) Clone() *Roster {
 	c := *r
 	c.byName, c.coexisting = make(map[string]*nameGroup, len(r.byName)), maps.Clone(r.coexisting)
@@ -22,8 +22,8 @@
 	return &c
 }
 
-// AppendKey appends an encoding that is equal for rosters of the same Options in the same state. It leaves out times,
-// which processes are reachable, and the order in which proofs will be forgotten.
+// AppendKey appends a key of the roster's state to b. Rosters with equal Options and equal keys are treated as the same
+// state. The key omits times, reachability and the order in which proofs are evicted.
 func (r *Roster) AppendKey(b []byte) []byte {
 	b = binary.AppendVarint(b, r.self.Start)
 	b = append(b, boolToByte(r.admitted)|boolToByte(r.forced)<<1|boolToByte(r.left)<<2)
--- a/internal/membership/roster/roster_test.go
+++ b/internal/membership/roster/roster_test.go
@@ -25,7 +25,7 @@
 	return Entry{Name: name, Start: start, GoneStart: start, Proof: p}
 }
 
-// acknowledgeAll exchanges all entries between the rosters, and then their digests.
+// acknowledgeAll has each roster merge the entries of all rosters and handle their digests, twice.
 func acknowledgeAll(now time.Duration, all ...*Roster) {
 	for range 2 {
 		for _, r := range all {
@@ -56,7 +56,7 @@
 			follower.Merge(0, one.Merge(0, e)...)
 			for _, entry := range one.Entries() {
 				id := ID{Name: entry.Name, Start: entry.Start}
-				require.False(t, entry.Present() && gone[id], "%v is present again", id)
+				require.False(t, entry.Present() && gone[id], "%v is present after it was proved gone", id)
 				gone[id] = !entry.Present()
 			}
 		}
@@ -67,7 +67,7 @@
 		other.Merge(0, shuffled[cut:]...)
 		other.Merge(0, third.Entries()...)
 		require.Empty(t, cmp.Diff(one.Entries(), other.Entries()))
-		require.Empty(t, cmp.Diff(one.Entries(), follower.Entries()), "the changed entries carry all knowledge")
+		require.Empty(t, cmp.Diff(one.Entries(), follower.Entries()), "the returned entries contain all changes")
 		require.Empty(t, one.Merge(0, shuffled...), "merging the same entries again changes nothing")
 		require.Equal(t, one.Digest(), other.Digest())
 	})
@@ -89,7 +89,7 @@
 	r.SetReachable(1, ID{Name: "c", Start: 1}, true)
 	assert.Equal(t, View{Known: 4, Reachable: 2}, r.View(1))
 	r.SetReachable(2, ID{Name: "c", Start: 1}, false)
-	assert.Equal(t, View{Known: 4, Reachable: 1}, r.View(2), "unreachable is not gone")
+	assert.Equal(t, View{Known: 4, Reachable: 1}, r.View(2), "an unreachable process still counts")
 	assert.Equal(t, []Entry{{Name: "b", Start: 1}, {Name: "d", Start: 1}, {Name: "c", Start: 1}}, r.Unreachable())
 	r.Merge(3, goneEntry("b", 1, ProofRefused), goneEntry("x", 7, ProofLeft))
 	assert.Equal(t, View{Known: 3, Reachable: 1}, r.View(3))
@@ -106,7 +106,7 @@
 	}
 	d.Merge(0, a.Entries()...)
 	assert.Equal(t, []string{"a", "b"}, names(d.Unacknowledged(2)))
-	assert.Equal(t, []string{"c", "a"}, names(d.Unacknowledged(2)), "successive calls go round")
+	assert.Equal(t, []string{"c", "a"}, names(d.Unacknowledged(2)), "successive calls return processes in round-robin order")
 	assert.False(t, d.HandleDigest(a.Self(), a.Digest()), "a does not know d")
 	for _, r := range []*Roster{a, b} {
 		r.Merge(0, d.Entries()...)
@@ -129,7 +129,7 @@
 func TestAdmission_Forced(t *testing.T) {
 	a, b, c := newRoster("a", 2), newRoster("b", 2), newRoster("c", 2)
 	acknowledgeAll(0, a, b)
-	assert.False(t, c.View(admitWithin-1).Admitted, "alone")
+	assert.False(t, c.View(admitWithin-1).Admitted, "before the deadline")
 	assert.Equal(t, View{Known: 2, Reachable: 1, Admitted: true, Forced: true}, c.View(admitWithin))
 	c.Merge(admitWithin, a.Entries()...)
 	assert.Len(t, c.Unacknowledged(9), 2)
@@ -144,7 +144,7 @@
 	c.View(admitWithin)
 	acknowledgeAll(0, c, d)
 	assert.Equal(t, View{Known: 3, Reachable: 1, Admitted: true, Forced: true}, d.View(0),
-		"acknowledged by a forced process alone")
+		"acknowledged only by a forced process")
 	assert.True(t, c.View(0).Forced)
 }
 
@@ -163,7 +163,7 @@
 
 	self := a.Self()
 	a.Merge(0, goneEntry("a", self.Start, ProofLeft))
-	assert.Equal(t, self, a.Self(), "a process that left takes no new incarnation")
+	assert.Equal(t, self, a.Self(), "a process that left starts no new incarnation")
 	assert.False(t, a.View(time.Hour).Admitted)
 }
 
@@ -183,7 +183,7 @@
 	next.Merge(0, b.Entries()...)
 	b.Merge(0, next.Entries()...)
 	next.HandleDigest(b.Self(), b.Digest())
-	assert.False(t, next.View(0).Admitted, "the earlier process has not acknowledged it")
+	assert.False(t, next.View(0).Admitted, "the earlier process has not acknowledged the later one")
 	assert.True(t, a.View(0).Admitted)
 	acknowledgeAll(0, a, b, next)
 	assert.False(t, a.View(0).Admitted)
@@ -193,8 +193,8 @@
 	assert.Equal(t, View{Known: 2, Reachable: 2, Admitted: true}, b.View(upgradeGracePeriod))
 	assert.Equal(t, View{Known: 3, Reachable: 3, Admitted: true}, b.View(upgradeGracePeriod+1), "duplicates")
 
-	b.Merge(0, goneEntry("a", 9, ProofRefused)) // the upgrade failed
-	assert.Equal(t, View{Known: 2, Reachable: 2, Admitted: true}, b.View(upgradeGracePeriod+1), "the earlier one counts")
+	b.Merge(0, goneEntry("a", 9, ProofRefused)) // the new process of the upgrade crashed
+	assert.Equal(t, View{Known: 2, Reachable: 2, Admitted: true}, b.View(upgradeGracePeriod+1), "the earlier process counts again")
 	a.Merge(0, b.Entries()...)
 	assert.Equal(t, ID{Name: "a", Start: 1}, a.Self())
 	assert.True(t, a.View(0).Admitted)
@@ -210,9 +210,9 @@
 	}
 	assert.Len(t, r.Entries(), 20)
 	assert.Equal(t, 1, r.View(0).Known)
-	assert.Equal(t, "gone31", r.Entries()[0].Name, "those that were proved gone first are forgotten")
-	assert.Equal(t, newRoster("self", 1).Digest(), r.Digest(), "forgotten proofs do not change the digest")
-	assert.Empty(t, r.Merge(0, goneEntry("gone0", 1, ProofLeft)), "a proof that would be forgotten at once is ignored")
+	assert.Equal(t, "gone31", r.Entries()[0].Name, "the oldest proofs are evicted")
+	assert.Equal(t, newRoster("self", 1).Digest(), r.Digest(), "evicted proofs do not change the digest")
+	assert.Empty(t, r.Merge(0, goneEntry("gone0", 1, ProofLeft)), "a proof that would be evicted at once is ignored")
 	for i := range 50 {
 		r.Merge(0, Entry{Name: fmt.Sprint("present", i), Start: 1})
 	}
@@ -224,14 +224,14 @@
 	for i := range int64(200) {
 		crashing.Merge(0, goneEntry("again", i+1, ProofRefused))
 	}
-	assert.Len(t, crashing.Entries(), 2+64, "a process that crashes again and again displaces only its own proofs")
-	assert.Empty(t, crashing.Merge(0, Entry{Name: "other", Start: 1}), "still gone")
-	assert.Empty(t, crashing.Merge(0, goneEntry("again", 3, ProofRefused)), "it would displace another proof")
-	assert.NotEmpty(t, crashing.Merge(0, goneEntry("again", 500, ProofRefused)), "but the latest incarnation is accepted")
+	assert.Len(t, crashing.Entries(), 2+64, "a process that crashes repeatedly evicts only proofs of its own name")
+	assert.Empty(t, crashing.Merge(0, Entry{Name: "other", Start: 1}), "it remains proved gone")
+	assert.Empty(t, crashing.Merge(0, goneEntry("again", 3, ProofRefused)), "it would evict another proof")
+	assert.NotEmpty(t, crashing.Merge(0, goneEntry("again", 500, ProofRefused)), "a proof of the latest incarnation is accepted")
 	assert.Empty(t, crashing.Merge(0, Entry{Name: "again", Start: 500}))
 	assert.Len(t, crashing.Entries(), 2+64)
 
-	// A process that is proved gone again after its proof was forgotten becomes the last to be forgotten.
+	// A process that is proved gone again after its proof was evicted has the newest proof, which is evicted last.
 	twice := New(0, Options{Self: ID{Name: "self", Start: 1}, MaxEntries: 100, AdmitWithin: admitWithin})
 	for i := range int64(65) {
 		twice.Merge(0, goneEntry("again", i+1, ProofRefused))
@@ -246,7 +246,7 @@
 	assert.Empty(t, twice.Merge(0, Entry{Name: "again", Start: 1}))
 }
 
-// Only proofs are forgotten: a process that is reported as present, and of which no proof is kept, counts.
+// Only proofs are evicted. A process that is reported as present counts unless its proof is kept.
 func TestBounds_PresentProcessesStay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, present := newRoster("self", 1), map[ID]bool{{Name: "self", Start: 1}: true}
@@ -275,14 +275,14 @@
 			}
 		}
 		for id, isPresent := range present {
-			require.False(t, isPresent, "%v is forgotten", id)
+			require.False(t, isPresent, "present process %v was evicted", id)
 		}
 		require.LessOrEqual(t, proofs, 64)
 		require.Equal(t, presentOnly.Digest(), r.Digest())
 	})
 }
 
-// A process that is cut off counts, however often later processes of its name crash meanwhile.
+// A partitioned process counts, regardless of how often later processes of its name crash meanwhile.
 func TestBounds_CrashesOfOneName(t *testing.T) {
 	a, o := newRoster("a", 1), newRoster("o", 1)
 	a.View(admitWithin)
@@ -295,14 +295,14 @@
 	}
 	assert.Contains(t, a.Entries(), Entry{Name: "o", Start: 1, Addr: "o:1"})
 
-	// A process whose proof is forgotten counts if it is reported as present, until it is proved gone again.
+	// A process whose proof was evicted counts if it is reported as present, until it is proved gone again.
 	a.Merge(0, Entry{Name: "o", Start: 3})
 	assert.Equal(t, []string{"o", "o"}, names(a.Unreachable()))
 	assert.NotEmpty(t, a.Merge(0, goneEntry("o", 3, ProofRefused)))
-	assert.Empty(t, a.Merge(0, Entry{Name: "o", Start: 3}), "the new proof is the last to be forgotten")
+	assert.Empty(t, a.Merge(0, Entry{Name: "o", Start: 3}), "the new proof is evicted last")
 	assert.Equal(t, 2, a.View(0).Known)
 
-	// A process that left stays so after its own proof is forgotten.
+	// A process that left remains so after its own proof is evicted.
 	a.Merge(0, goneEntry("a", 1, ProofLeft))
 	for i := range int64(200) {
 		a.Merge(0, goneEntry("a", i+2, ProofRefused))
@@ -310,12 +310,12 @@
 	assert.Equal(t, ID{Name: "a", Start: 1}, a.Self())
 }
 
-// An observer counts in no budget, need not acknowledge anybody and has no quota itself; it is known and proved gone
-// as any other.
+// An observer has no quota, counts in no budget, and its acknowledgement is not needed. It is listed and proved gone
+// like any other process.
 func TestObserver_Quota(t *testing.T) {
 	joining := New(0, Options{Self: ID{"a", 1}, Peers: 1, AdmitWithin: time.Second})
 	observer := New(0, Options{Self: ID{"w", 1}, Observer: true, AdmitWithin: time.Second})
-	joining.SetReachable(0, ID{"w", 1}, true) // it counts until it is known as an observer
+	joining.SetReachable(0, ID{"w", 1}, true) // it counts until the entry that marks it as an observer arrives
 	assert.Equal(t, View{Known: 2, Reachable: 2}, joining.View(0))
 	joining.Merge(0, observer.Entries()...)
 	observer.Merge(0, joining.Entries()...)
@@ -342,7 +342,7 @@
 		assert.Equal(t, View{Known: 2, Reachable: 2, Admitted: true}, b.View(now))
 		assert.Equal(t, View{Known: 2, Reachable: 2}, observer.View(now))
 	}
-	// A sidecar is no duplicate for having an observer of its name: the earlier sidecar is unreachable.
+	// An observer does not make a sidecar of the same name a duplicate: the earlier sidecar is unreachable.
 	b.Merge(0, Entry{Name: "a", Start: 5})
 	b.SetReachable(0, ID{"a", 1}, false)
 	b.SetReachable(0, ID{"a", 5}, true)
--- a/internal/membership/roster/roster_view.go
+++ b/internal/membership/roster/roster_view.go
@@ -1,6 +1,6 @@
 package roster
 
-// This file holds the queries of a roster.
+// This file contains the queries of a roster.
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// View derives the counts and the admission as of now. It admits this process once its deadline is over.
+// View returns the counts and the admission at the time now. It admits this process if its deadline has passed.
 func (r *Roster) View(now time.Duration) View {
 	if !r.admitted && now >= r.admitDeadline {
 		r.admitted, r.forced = true, true
@@ -28,11 +28,11 @@
 	return v
 }
 
-// duplicates counts the processes that have been reachable together with a later one of their name for longer than
-// upgradeGracePeriod.
+// duplicates counts the processes that have been reachable for longer than upgradeGracePeriod while a later process of
+// their name was present.
 func (g *nameGroup) duplicates(now time.Duration, self ID) int {
 	duplicates := 0
-	laterSince := time.Duration(math.MaxInt64) // when the first of the later processes was seen
+	laterSince := time.Duration(math.MaxInt64) // when the first of the later processes was first seen
 	for i := len(g.processes) - 1; i >= 0; i-- {
 		p := &g.processes[i]
 		if !p.present() || p.observer {
@@ -47,8 +47,8 @@
 	return duplicates
 }
 
-// superseded reports whether a later process of this one's name is present. A name has one quota, and the later process
-// takes it over: it waits for this one's acknowledgement before it is admitted. An observer takes over nothing.
+// superseded reports whether a later process of the same name is present. A name has one quota, which passes to the
+// later process: that one is admitted only after this one has acknowledged it. An observer takes over no quota.
 func (r *Roster) superseded() bool {
 	group := r.byName[r.self.Name]
 	return group != nil && slices.ContainsFunc(group.processes, func(p process) bool {
@@ -56,7 +56,7 @@
 	})
 }
 
-// Entries returns all that is known, by name and start.
+// Entries returns all entries, ordered by name and start.
 func (r *Roster) Entries() []Entry {
 	all := make([]Entry, 0, r.entryCount)
 	for _, group := range r.byName {
@@ -68,7 +68,7 @@
 	return all
 }
 
-// Unreachable returns the other present processes that the failure detector does not reach, longest unreachable first.
+// Unreachable returns the other present processes that are unreachable, the longest unreachable first.
 func (r *Roster) Unreachable() []Entry {
 	all := r.selectOthers(func(p *process) bool { return !p.reachable })
 	slices.SortFunc(all, func(a, b *process) int {
@@ -77,7 +77,7 @@
 	return toEntries(all)
 }
 
-// selectOthers returns the other present processes that match, in no order.
+// selectOthers returns the other present processes that match, in no particular order.
 func (r *Roster) selectOthers(match func(*process) bool) []*process {
 	var all []*process
 	for _, group := range r.byName {
@@ -101,7 +101,7 @@
 // Len returns the number of entries.
 func (r *Roster) Len() int { return r.entryCount }
 
-// Find returns what is known of one process.
+// Find returns the entry of a process, and whether there is one.
 func (r *Roster) Find(id ID) (Entry, bool) {
 	if p := r.find(id); p != nil {
 		return p.entry(), true
@@ -109,5 +109,5 @@
 	return Entry{}, false
 }
 
-// Self returns this process's identity. Its start is greater than that of Options if that one was proved gone.
+// Self returns the ID of this process. Its start is greater than that of Options.Self if the latter was proved gone.
 func (r *Roster) Self() ID { return r.self }
--- a/internal/membership/roster/types.go
+++ b/internal/membership/roster/types.go
@@ -1,54 +1,53 @@
-// Package roster records which processes have joined a fleet and which of them are proved gone. From that it derives how
-// many members share the fleet's budgets. It does no I/O and reads no clock: package membership feeds it with messages,
-// with the verdicts of the failure detector and with the time.
+// Package roster records which processes have joined a fleet and which of them are proved gone, and derives from this
+// how many members share the fleet's budgets. It does no I/O and reads no clock: package membership passes in the
+// messages of other processes, the verdicts of the failure detector and the current time.
 //
-// A process that cannot be reached is not gone: it may be cut off or frozen. A process is gone if it said that it left,
-// if its address refuses connections, if another process has its address, or if an operator says so. Until then it
-// counts. Knowledge only grows (see Entry), so messages may be lost, duplicated and reordered. docs/membership.md states
-// the invariant that follows, and its limits.
+// A process is proved gone by one of the following: it announced that it left, its address refuses connections, another
+// process has its address, or an operator confirmed it. An unreachable process without such a proof may be partitioned
+// off or frozen, and therefore counts as present. Knowledge only grows (see Entry), so messages may be lost, duplicated
+// and reordered. docs/membership.md states the resulting invariant and its limits.
 //
-// A name counts once, for its latest process that is not proved gone. An earlier process of the name takes no part once
-// it knows of the later one, and the later one takes no part before the earlier one knows of it or is proved gone. A
-// proof that the later process is gone says nothing about the earlier one, which then counts again. Each incarnation is
-// therefore proved gone by itself.
+// A name counts once, for its latest process that is not proved gone. An earlier process of the name has no quota once
+// it knows of the later one. The later one has no quota until the earlier one has acknowledged it or is proved gone. If
+// the later process is proved gone, the earlier one counts again, so each incarnation needs a proof of its own.
 package roster
 
 import "time"
 
-// ID identifies a process: the name of the member and the number of the incarnation.
+// ID identifies a process by the name of its member and the incarnation.
 type ID struct {
 	Name string `json:"name"`
-	// Start is the incarnation: the time of the start in Unix milliseconds, raised where the fleet knows a later one.
+	// Start is the incarnation: the time of the start in Unix milliseconds, or more if the fleet knows a later start.
 	Start int64 `json:"start"`
 }
 
-// Proof is the reason for which a process is known to be gone. The numbers are part of the wire form.
+// Proof is the evidence that a process is gone. The numbers are part of the wire form.
 type Proof uint8
 
-// The proofs, in ascending order: of two for the same process the greater one is kept.
+// The proofs in ascending order. If there are two for the same process, the greater one is kept.
 const (
-	ProofNone          Proof = iota
-	ProofRefused             // its address refuses connections
-	ProofAddressReused       // another process has its address
-	ProofOperator            // an operator said so
-	ProofLeft                // it said that it left
+	ProofNone          Proof = iota // the process is present
+	ProofRefused                    // its address refuses connections
+	ProofAddressReused              // another process has its address
+	ProofOperator                   // an operator confirmed it
+	ProofLeft                       // it announced that it left
 )
 
-// Entry is all that is known of a process: that it is present, or that it is proved gone. Two entries of one process
-// merge by the maximum of each field. A process that is proved gone stays so.
+// Entry states that a process is present or proved gone. Two entries of one process merge by the maximum of each field,
+// so a process that is proved gone remains so.
 type Entry struct {
 	Name  string
 	Start int64
-	// GoneStart is an incarnation of this name that is proved gone, or 0. The entry's own process is gone if GoneStart is at least
-	// Start.
+	// GoneStart is an incarnation of this name that is proved gone, or 0 for none. If it is Start or greater, the
+	// process of this entry is gone.
 	GoneStart int64
-	Proof     Proof  // of Gone
-	Addr      string // HOST:PORT; empty if not known
-	// Observer marks a process that is present and takes no part in the fleet's budgets. Once set it stays set.
+	Proof     Proof  // the evidence for GoneStart; ProofNone if that is 0
+	Addr      string // HOST:PORT of the process Start; empty if unknown
+	// Observer marks a process without a share of the fleet's budgets. Once set it stays set.
 	Observer bool
 }
 
-// Present reports whether this process is not proved gone. It may be unreachable.
+// Present reports whether the process of this entry is not proved gone. A present process may be unreachable.
 func (e Entry) Present() bool { return e.Start > e.GoneStart }
 
 func (e Entry) valid() bool {
@@ -59,34 +58,34 @@
 // Options configure a roster.
 type Options struct {
 	Self ID
-	Addr string // where other processes reach this one
-	// Observer means that this process counts in no budget and is never admitted.
+	Addr string // HOST:PORT at which other processes reach this one
+	// Observer excludes this process from all budgets. It is never admitted.
 	Observer bool
-	// Peers is the number of names that count as known before any of them was observed; at least 1.
+	// Peers is the expected number of names. That many count as known even if fewer were observed. The minimum is 1.
 	Peers int
-	// AdmitWithin is the time after which a joining process is admitted without all acknowledgements.
+	// AdmitWithin is the time after which a joining process is admitted even if acknowledgements are missing.
 	AdmitWithin time.Duration
-	// MaxEntries bounds the entries. Beyond it those that were proved gone first are forgotten; present processes are
-	// never forgotten. 0: defaultMaxEntries.
+	// MaxEntries bounds the number of entries. When it is exceeded, the oldest proofs are evicted. Present processes
+	// are never evicted. 0 means defaultMaxEntries.
 	MaxEntries int
-	// MaxProofsPerName bounds the proofs of one name, so that a process that crashes again and again displaces only its
-	// own. Those that were proved first are forgotten first. 0: defaultMaxProofsPerName.
+	// MaxProofsPerName bounds the number of proofs of one name, so that a process that crashes repeatedly evicts only
+	// proofs of its own name. The oldest proofs are evicted first. 0 means defaultMaxProofsPerName.
 	MaxProofsPerName int
 }
 
-// View is what a process derives from its roster.
+// View holds the counts and the admission that a process derives from its roster.
 type View struct {
-	// Known counts the names with a process that is not proved gone, this process and the names not yet observed (see
-	// Options.Peers) included, observers excluded.
+	// Known counts the names with a present process. It includes this process and the expected names that were not yet
+	// observed (see Options.Peers), and excludes observers.
 	Known int `json:"known"`
-	// Reachable counts those of Known that are reachable now, this process included.
+	// Reachable counts the names in Known that are reachable now, including this process.
 	Reachable int `json:"heard"`
-	// Admitted is true once all known processes have acknowledged this one or AdmitWithin is over, and while no later
-	// process of its name is present.
+	// Admitted is true once all known processes have acknowledged this one or AdmitWithin has passed. It is false while
+	// a later process of the same name is present.
 	Admitted bool `json:"admitted"`
-	// Forced means that the process was admitted only because AdmitWithin was over, here or at the process that
-	// acknowledged it. It ends when all have acknowledged this process and one of them is not Forced, or Peers names
-	// are present. Where Peers is 1, one admitted process is enough; a cut that lasts from the start then makes two
-	// fleets that do not know it.
+	// Forced means that this process, or the one that acknowledged it, was admitted only because AdmitWithin had
+	// passed. It is reset once all other processes have acknowledged this one and either one of them is not Forced or
+	// Peers names are present. If Peers is 1, one admitted process among them is enough. A partition that exists from
+	// the start can then form two fleets, neither of which detects the other.
 	Forced bool `json:"forced"`
 }
--- a/internal/membership/transport/guard.go
+++ b/internal/membership/transport/guard.go
@@ -11,29 +11,30 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// The library does not protect its memory: it decompresses up to 40 MiB, and allocates memory for as many nodes (a
-// million) and bytes (20 MiB) as the first bytes of a stream announce. This file rejects both. No member compresses.
+// This file rejects input that makes the library allocate excessive memory. The library decompresses up to 40 MiB, and
+// allocates memory for as many nodes (up to a million) and bytes (up to 20 MiB) as the first bytes of a stream
+// announce. Members send no compressed data.
 
-// Message types of the library (net.go there).
+// Message types of memberlist, from its net.go.
 const (
 	typePushPull   = 6
 	typeCompound   = 7
 	typeUser       = 8
 	typeCompressed = 9
-	typeChecked    = 12 // a checksum, followed by another message
+	typeChecked    = 12 // a checksum followed by another message
 	typeLabel      = 244
 )
 
 const (
-	maxAnnouncedNodes = 8192 // of a push/pull: 4,096 names, each with two processes during an upgrade
-	maxHeaderBytes    = 256  // of the part of a stream that announces sizes
-	maxLabelBytes     = 256  // of the label before it
+	maxAnnouncedNodes = 8192 // in a push/pull: 4,096 names, each with two processes during an upgrade
+	maxHeaderBytes    = 256  // length of the header of a stream, which announces sizes
+	maxLabelBytes     = 256  // length of the label before the header
 )
 
-var errOversized = errors.New("announces more than it may bring")
+var errOversized = errors.New("stream is compressed or announces more than the limit")
 
-// isCompressedOrNested reports whether a packet is compressed, or has a compressed or compound message inside a compound one. No
-// member sends those.
+// isCompressedOrNested reports whether a packet is compressed, or is a compound message that is malformed or contains a
+// compressed or compound message. Members send no such packets.
 func isCompressedOrNested(b []byte) bool {
 	if len(b) >= 2 && b[0] == typeLabel {
 		b = b[min(2+int(b[1]), len(b)):]
@@ -58,7 +59,8 @@
 	return false
 }
 
-// checkedReader checks the sizes that the stream announces, and returns a reader of the whole stream.
+// checkedReader checks the sizes that the stream announces and returns a reader of the whole stream, including its
+// header.
 func (s *stream) checkedReader() (io.Reader, error) {
 	in := bufio.NewReaderSize(readerFunc(s.readBounded), maxHeaderBytes)
 	var seen bytes.Buffer
@@ -70,13 +72,14 @@
 	return io.MultiReader(&seen, in), err
 }
 
-// checkAnnouncement reads the header of a stream and checks the sizes in it.
+// checkAnnouncement reads the header of a stream. It returns errOversized if the stream is compressed, or if a size in
+// the header exceeds its limit.
 func checkAnnouncement(in io.Reader, maxBytes int64) error {
 	messageType, err := readMessageType(in)
 	if err != nil {
 		return err
 	}
-	// The fields and their names are those of the library's encoding.
+	// The field names are those of the library's msgpack encoding.
 	var header struct {
 		Nodes        int
 		UserStateLen int
@@ -103,7 +106,7 @@
 	return nil
 }
 
-// readMessageType reads the type of the stream's first message, behind the label if there is one.
+// readMessageType reads the type of the first message of a stream, and skips the label before it if there is one.
 func readMessageType(in io.Reader) (byte, error) {
 	var first [2]byte
 	if _, err := io.ReadFull(in, first[:1]); err != nil || first[0] != typeLabel {
@@ -119,7 +122,7 @@
 	return first[0], err
 }
 
-// readerFunc is a function that is an io.Reader.
+// readerFunc is an io.Reader that calls a function.
 type readerFunc func([]byte) (int, error)
 
 func (f readerFunc) Read(b []byte) (int, error) { return f(b) }
--- a/internal/membership/transport/stream.go
+++ b/internal/membership/transport/stream.go
@@ -10,24 +10,25 @@
 	"time"
 )
 
-var errStreamTooLong = errors.New("more bytes than a stream may have")
+var errStreamTooLong = errors.New("stream exceeds the byte limit")
 
-// stream is a connection whose bytes and lifetime are bounded, whatever deadlines its user sets.
+// stream is a connection with bounds on its bytes and its lifetime, which apply regardless of the deadlines set by its
+// user.
 type stream struct {
 	net.Conn
 	transport    *Transport
-	lastDeadline time.Time // no deadline is later
-	release      func()
+	lastDeadline time.Time // end of the lifetime; no deadline is later
+	release      func()    // called once by Close
 	closeOnce    sync.Once
-	reader       io.Reader // set by the first read; only for readers
+	reader       io.Reader // reader behind the header check; set and used only by Read
 
 	mu            sync.Mutex
-	readDeadline  time.Time // set by its user, at most lastDeadline
-	readableBytes int64     // how many may still be read
-	writableBytes int64     // how many may still be written
+	readDeadline  time.Time // set by the user, at most lastDeadline
+	readableBytes int64     // number of bytes that may still be read
+	writableBytes int64     // number of bytes that may still be written
 }
 
-// newStream wraps a connection, which Shutdown closes. release is called when it is closed.
+// newStream wraps a connection. Shutdown closes the stream. release is called once when the stream is closed.
 func (t *Transport) newStream(conn net.Conn, release func()) (*stream, error) {
 	s := &stream{Conn: conn, transport: t, lastDeadline: time.Now().Add(t.streamLifetime), release: release,
 		readableBytes: t.maxStreamBytes, writableBytes: t.maxStreamBytes}
@@ -39,7 +40,7 @@
 		return nil, errors.Join(net.ErrClosed, conn.Close())
 	}
 	t.streams[s] = struct{}{}
-	_ = conn.SetDeadline(s.lastDeadline) // if this fails, so does the first use
+	_ = conn.SetDeadline(s.lastDeadline) // if this fails, the first read or write fails, too
 	return s, nil
 }
 
@@ -56,7 +57,8 @@
 	return err
 }
 
-// Read reads from the stream, unless its header announces more than the limit. Only one goroutine may read at a time.
+// Read reads from the stream. It fails if the header announces more than the limit. Only one goroutine may read at a
+// time.
 func (s *stream) Read(b []byte) (int, error) {
 	if s.reader == nil {
 		checked, err := s.checkedReader()
@@ -68,12 +70,12 @@
 	return s.reader.Read(b)
 }
 
-// readBounded reads within the limits of bytes and time.
+// readBounded reads from the connection within the limits on bytes and time.
 func (s *stream) readBounded(b []byte) (int, error) {
 	s.mu.Lock()
 	deadline, reason := time.Now().Add(s.transport.idleTimeout), droppedIdle
 	if s.readDeadline.Before(deadline) {
-		deadline, reason = s.readDeadline, "" // the user's own deadline is no drop
+		deadline, reason = s.readDeadline, "" // the user's own deadline does not count as a drop
 		if deadline.Equal(s.lastDeadline) {
 			reason = droppedLifetime
 		}
@@ -94,12 +96,12 @@
 	s.mu.Unlock()
 	if errors.Is(err, os.ErrDeadlineExceeded) && reason != "" {
 		s.transport.dropped(reason)
-		_ = s.Close() // it cannot be used any more
+		_ = s.Close() // a stream is unusable after a drop
 	}
 	return n, err
 }
 
-// Write writes within the limit of bytes.
+// Write writes to the connection within the limit on bytes.
 func (s *stream) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	remaining := s.writableBytes
@@ -112,7 +114,7 @@
 	return s.Conn.Write(b)
 }
 
-// capDeadline returns a deadline that is no later than the stream's last one. The zero time stands for the last one.
+// capDeadline returns t, or lastDeadline if t is later or zero.
 func (s *stream) capDeadline(t time.Time) time.Time {
 	if t.IsZero() || t.After(s.lastDeadline) {
 		return s.lastDeadline
@@ -120,12 +122,12 @@
 	return t
 }
 
-// SetDeadline bounds reads and writes, within the stream's lifetime.
+// SetDeadline sets the deadline of reads and writes. The end of the stream's lifetime still applies.
 func (s *stream) SetDeadline(t time.Time) error {
 	return errors.Join(s.SetReadDeadline(t), s.SetWriteDeadline(t))
 }
 
-// SetReadDeadline bounds reads, within the stream's lifetime.
+// SetReadDeadline sets the deadline of reads. The end of the stream's lifetime still applies.
 func (s *stream) SetReadDeadline(t time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +135,7 @@
 	return s.Conn.SetReadDeadline(s.readDeadline)
 }
 
-// SetWriteDeadline bounds writes, within the stream's lifetime.
+// SetWriteDeadline sets the deadline of writes. The end of the stream's lifetime still applies.
 func (s *stream) SetWriteDeadline(t time.Time) error {
 	return s.Conn.SetWriteDeadline(s.capDeadline(t))
 }
--- a/internal/membership/transport/transport.go
+++ b/internal/membership/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport carries the packets and streams of hashicorp/memberlist. It accepts and calls only addresses of the
-// configured networks, and bounds the memory and the time that callers can take.
+// Package transport implements the transport of hashicorp/memberlist over UDP and TCP. It exchanges data only with
+// addresses in the configured networks, and bounds the memory and the time that remote ends can consume.
 package transport
 
 import (
@@ -21,19 +21,19 @@
 	"marblelane/internal/retry"
 )
 
-// limits bound the memory and the time that callers can take.
+// limits bound the memory and the time that remote ends can consume.
 type limits struct {
-	maxPacketBytes int           // in either direction
-	maxStreamBytes int64         // in each direction
-	maxStreams     int           // incoming ones at a time
-	slotTimeout    time.Duration // how long an incoming stream waits for another one to end before it is dropped
-	idleTimeout    time.Duration // without a byte while the stream is read
-	streamLifetime time.Duration // from the opening of a stream to its end
+	maxPacketBytes int           // per packet, in either direction
+	maxStreamBytes int64         // per stream, in each direction
+	maxStreams     int           // incoming streams open at a time
+	slotTimeout    time.Duration // how long an incoming stream waits for a free slot before it is dropped
+	idleTimeout    time.Duration // maximum time without a byte while a stream is read
+	streamLifetime time.Duration // maximum time from the opening of a stream to its end
 }
 
-// defaultLimits allow a push/pull of 4,096 names with 1 KiB for each: at most 512 bytes of metadata, about 200 bytes of
-// the library and about 200 of the roster. The library's packets have at most 1,400 bytes; only a user message may be
-// longer.
+// defaultLimits allow a push/pull of 4,096 names with 1 KiB each: at most 512 bytes of metadata, about 200 bytes of
+// library data and about 200 bytes of roster entries. Packets of the library have at most 1,400 bytes, except for user
+// messages.
 var defaultLimits = limits{
 	maxPacketBytes: 8 << 10,
 	maxStreamBytes: 4096 << 10,
@@ -43,37 +43,38 @@
 	streamLifetime: 15 * time.Second,
 }
 
-// Reasons for which a packet or a stream is dropped. They are values of a metric's label.
+// Reasons why packets and streams are dropped. They are values of a metric label.
 const (
-	droppedNetwork   = "network" // the other end lies in none of the networks
-	droppedTooLong   = "long"    // more bytes than its limit
+	droppedNetwork   = "network" // the remote address is not in any of the networks
+	droppedTooLong   = "long"    // more bytes than the limit of a packet or stream
 	droppedEmpty     = "empty"   // a packet without bytes
 	droppedIdle      = "idle"    // nothing arrived within idleTimeout
 	droppedLifetime  = "late"    // the stream did not end within streamLifetime
-	droppedOversized = "swollen" // it announces more than its limit, or is compressed
-	droppedNoSlot    = "streams" // maxStreams are open
+	droppedOversized = "swollen" // announces too much, is compressed, or is a malformed or nested compound
+	droppedNoSlot    = "streams" // no free slot within slotTimeout
 )
 
 // Config configures a transport.
 type Config struct {
-	Bind      string // HOST:PORT, UDP and TCP; port 0: the system's choice, the same for both
-	Advertise string // HOST:PORT that others call, port 0: the bound one; empty: the bound address
-	Networks  []netip.Prefix
+	Bind      string         // HOST:PORT for UDP and TCP; port 0 means one port for both, chosen by the system
+	Advertise string         // HOST:PORT for other members; port 0 means the bound port, empty the bound address
+	Networks  []netip.Prefix // networks of the members; empty means any address
 	Log       *slog.Logger
-	OnDrop    func(reason string) // called for each drop, from many goroutines; may be nil
+	OnDrop    func(reason string) // called concurrently for each dropped packet and stream; may be nil
 }
 
-// Transport carries memberlist's packets and streams.
+// Transport implements memberlist.NodeAwareTransport.
 //
-// It replaces the library's NetTransport, which accepts packets and streams from anywhere, bounds neither the length nor
-// the number of streams, calls from any local address, and has goroutines that wait for the library without a timeout.
+// It replaces the library's NetTransport, which accepts packets and streams from any address, bounds neither the length
+// nor the number of streams, connects from any local address, and has goroutines that wait for the library without a
+// timeout.
 type Transport struct {
 	limits
 	networks []netip.Prefix
 	log      *slog.Logger
 	dropped  func(reason string)
 
-	tcp       net.Listener // of a TCP socket
+	tcp       net.Listener
 	udp       *net.UDPConn
 	bound     netip.AddrPort
 	advertise netip.AddrPort
@@ -81,9 +82,9 @@
 
 	packetCh chan *memberlist.Packet
 	streamCh chan net.Conn
-	slots    chan struct{} // holds one element for each incoming stream
+	slots    chan struct{} // holds one element per open incoming stream
 
-	ctx    context.Context // ended by Shutdown
+	ctx    context.Context // canceled by Shutdown
 	cancel func()
 	wg     sync.WaitGroup
 
@@ -94,12 +95,12 @@
 
 var _ memberlist.NodeAwareTransport = (*Transport)(nil)
 
-// Open binds and listens. Shutdown ends it, and returns once the transport's goroutines have ended.
+// Open binds the sockets and starts the goroutines of the transport. Shutdown ends them.
 func Open(cfg Config) (*Transport, error) {
 	return openWithLimits(cfg, defaultLimits)
 }
 
-// openWithLimits is Open with limits that tests choose.
+// openWithLimits is Open with the given limits.
 func openWithLimits(cfg Config, l limits) (*Transport, error) {
 	t := &Transport{limits: l, networks: cfg.Networks, log: cfg.Log, dropped: cfg.OnDrop,
 		packetCh: make(chan *memberlist.Packet), streamCh: make(chan net.Conn), slots: make(chan struct{}, l.maxStreams),
@@ -116,7 +117,7 @@
 	if err := t.setAdvertise(cfg.Advertise); err != nil {
 		return nil, errors.Join(fmt.Errorf("advertise %q: %w", cfg.Advertise, err), t.tcp.Close(), t.udp.Close())
 	}
-	// Members recognize each other by their addresses, so calls come from the bound one.
+	// Members identify each other by their addresses, so outgoing connections use the bound address.
 	t.dialer = net.Dialer{KeepAlive: -1, Control: deferPortChoice}
 	if ip := t.bound.Addr(); !ip.IsUnspecified() {
 		t.dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0))
@@ -127,16 +128,16 @@
 	return t, nil
 }
 
-// deferPortChoice has the system choose the local port when the call connects, so that calls to different addresses may
-// share a port. Where the system does not support it, each call takes a port of its own.
+// deferPortChoice defers the choice of the local port until the socket connects, so that connections to different
+// addresses may share a port. Where the system does not support this, each connection has a port of its own.
 func deferPortChoice(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
 	})
 }
 
-// bind binds one port for TCP and UDP. If the system chooses the port, the one chosen for TCP may be in use for UDP; then
-// it chooses again.
+// bind binds the same port for TCP and UDP. If the system chooses the port, its choice for TCP may be in use for UDP.
+// In that case bind tries again.
 func (t *Transport) bind(addr string) error {
 	const maxAttempts = 16
 	at, err := net.ResolveTCPAddr("tcp", addr)
@@ -155,7 +156,7 @@
 			_ = t.udp.SetReadBuffer(1 << 20) // the system may allow less
 			return nil
 		}
-		_ = t.tcp.Close() // it was not used yet
+		_ = t.tcp.Close() // no connection was accepted yet
 		if at.Port != 0 || !errors.Is(err, syscall.EADDRINUSE) {
 			break
 		}
@@ -163,7 +164,7 @@
 	return err
 }
 
-// setAdvertise determines the address that others call.
+// setAdvertise determines the address at which other members reach this one.
 func (t *Transport) setAdvertise(addr string) error {
 	t.advertise = t.bound
 	if addr != "" {
@@ -178,10 +179,10 @@
 		}
 	}
 	if ip := t.advertise.Addr(); !ip.IsValid() || ip.IsUnspecified() {
-		return fmt.Errorf("others cannot call %v: an address is needed", t.bound)
+		return fmt.Errorf("no IP address to advertise (bound to %v)", t.bound)
 	}
 	if !InNetworks(t.networks, t.advertise.Addr()) {
-		return fmt.Errorf("%v lies in none of the networks %v", t.advertise, t.networks)
+		return fmt.Errorf("%v is not in any of the networks %v", t.advertise, t.networks)
 	}
 	return nil
 }
@@ -189,13 +190,13 @@
 // TransportAddr returns the bound address.
 func (t *Transport) TransportAddr() netip.AddrPort { return t.bound }
 
-// FinalAdvertiseAddr returns the address that others call. It ignores that of the library's configuration.
+// FinalAdvertiseAddr returns the address to advertise. It ignores the address of the library's configuration.
 func (t *Transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.advertise.Addr().AsSlice(), int(t.advertise.Port()), nil
 }
 
-// parseTarget parses an address to call or send to. Other members name such addresses, so they must lie in the networks,
-// too: a member could make this one send to anybody otherwise.
+// parseTarget parses the address of a packet or stream to send. Such addresses come from other members, so they must be
+// in the networks. Otherwise a member could make this one send to any address.
 func (t *Transport) parseTarget(addr string) (netip.AddrPort, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -204,7 +205,7 @@
 	to = netip.AddrPortFrom(to.Addr().Unmap(), to.Port())
 	if !InNetworks(t.networks, to.Addr()) {
 		t.dropped(droppedNetwork)
-		return to, fmt.Errorf("%s lies in none of the networks %v", addr, t.networks)
+		return to, fmt.Errorf("%s is not in any of the networks %v", addr, t.networks)
 	}
 	return to, nil
 }
@@ -222,10 +223,10 @@
 		return time.Time{}, err
 	}
 	if len(b) > t.maxPacketBytes {
-		return time.Time{}, fmt.Errorf("packet to %s of %d bytes is longer than %d", addr, len(b), t.maxPacketBytes)
+		return time.Time{}, fmt.Errorf("write packet to %s: %d bytes exceed the limit of %d", addr, len(b), t.maxPacketBytes)
 	}
 	_, err = t.udp.WriteToUDPAddrPort(b, to)
-	return time.Now(), err // unwrapped: the library checks its type to see whether the other end failed
+	return time.Now(), err // unwrapped: the library detects a failure of the remote end by the type of the error
 }
 
 // WriteToAddress sends a packet.
@@ -233,7 +234,7 @@
 	return t.WriteTo(b, a.Addr)
 }
 
-// DialTimeout opens a stream, from the bound address.
+// DialTimeout opens a stream from the bound address.
 func (t *Transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	to, err := t.parseTarget(addr)
 	if err != nil {
@@ -248,12 +249,12 @@
 	return t.newStream(conn, func() {})
 }
 
-// DialAddressTimeout opens a stream, from the bound address.
+// DialAddressTimeout opens a stream from the bound address.
 func (t *Transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, timeout)
 }
 
-// Shutdown closes the sockets and all streams.
+// Shutdown closes the sockets and all streams. It returns when the goroutines of the transport have ended.
 func (t *Transport) Shutdown() error {
 	t.mu.Lock()
 	var open []*stream
@@ -275,13 +276,13 @@
 	return err
 }
 
-// readFailures holds the backoff after failed reads of packets, and the limit of their log lines.
+// readFailures holds the backoff and the rate limit of log lines after failed reads of packets.
 type readFailures struct {
 	backoff retry.Backoff
 	limiter retry.LogLimiter
 }
 
-// waitAfterReadFailure waits after a failed read of a packet. It returns false if the transport has ended.
+// waitAfterReadFailure logs a failed read of a packet and waits. It returns false if the transport was shut down.
 func (t *Transport) waitAfterReadFailure(failures *readFailures, err error) bool {
 	if t.ctx.Err() != nil {
 		return false
@@ -331,7 +332,7 @@
 		conn, err := t.tcp.Accept()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				t.log.Error("members: accept failed, no more streams are accepted", "addr", t.bound, "err", err)
+				t.log.Error("members: accept failed, stopped accepting streams", "addr", t.bound, "err", err)
 			}
 			return
 		}
@@ -347,17 +348,18 @@
 		}
 		s, err := t.newStream(conn, func() { <-t.slots })
 		if err != nil {
-			return // the transport has ended
+			return // the transport was shut down
 		}
 		select {
 		case t.streamCh <- s:
 		case <-t.ctx.Done():
-			return // Shutdown closes it
+			return // Shutdown closes s
 		}
 	}
 }
 
-// acquireSlot waits for a free slot up to slotTimeout. No other stream is accepted meanwhile.
+// acquireSlot acquires a slot and returns true, or returns false after slotTimeout. No other stream is accepted
+// meanwhile.
 func (t *Transport) acquireSlot() bool {
 	select {
 	case t.slots <- struct{}{}:
@@ -375,7 +377,7 @@
 	return false
 }
 
-// InNetworks reports whether an address lies in one of the networks, or there are none.
+// InNetworks reports whether an address is in one of the networks. If there are no networks, it returns true.
 func InNetworks(networks []netip.Prefix, ip netip.Addr) bool {
 	ip = ip.Unmap().WithZone("")
 	for _, n := range networks {
--- a/internal/membership/transport/transport_test.go
+++ b/internal/membership/transport/transport_test.go
@@ -27,11 +27,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// smallLimits are limits that a test can reach.
+// smallLimits are limits small enough for a test to reach.
 var smallLimits = limits{maxPacketBytes: 100, maxStreamBytes: 1000, maxStreams: 2, slotTimeout: time.Minute,
 	idleTimeout: time.Minute, streamLifetime: time.Minute}
 
-// openTestTransport returns a transport, and the reasons of its drops in order.
+// openTestTransport returns a transport and a channel that receives the reason of each drop.
 func openTestTransport(t *testing.T, bind string, l limits, networks ...string) (*Transport, <-chan string) {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
@@ -55,7 +55,7 @@
 	return c
 }
 
-// requireClosed waits for the other end of a connection to close it.
+// requireClosed waits until the remote end of a connection closes it.
 func requireClosed(t *testing.T, c net.Conn) {
 	t.Helper()
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(20*time.Second)))
@@ -79,17 +79,17 @@
 	defer c.Close()
 	accepted := <-b.StreamCh()
 	defer accepted.Close()
-	assert.Equal(t, "127.0.0.9", accepted.RemoteAddr().(*net.TCPAddr).IP.String(), "calls come from the bound address")
+	assert.Equal(t, "127.0.0.9", accepted.RemoteAddr().(*net.TCPAddr).IP.String(), "connections use the bound address")
 	require.NoError(t, b.Shutdown())
 	_, err = a.DialTimeout(b.bound.String(), time.Minute)
 	require.ErrorIs(t, err, syscall.ECONNREFUSED)
-	assert.IsType(t, &net.OpError{}, err, "the library recognizes a failure of the other end by this type")
+	assert.IsType(t, &net.OpError{}, err, "the library detects a failure of the remote end by this type")
 
 	for _, c := range []struct{ bind, advertise, network, text string }{
 		{a.bound.String(), "", "", "address already in use"},
 		{"127.0.0.9", "", "", "missing port"},
-		{"0.0.0.0:0", "", "", "an address is needed"},
-		{"127.0.0.9:0", "10.0.0.1:1", "127.0.0.0/8", "10.0.0.1:1 lies in none of the networks"},
+		{"0.0.0.0:0", "", "", "no IP address to advertise"},
+		{"127.0.0.9:0", "10.0.0.1:1", "127.0.0.0/8", "10.0.0.1:1 is not in any of the networks"},
 	} {
 		cfg := Config{Bind: c.bind, Advertise: c.advertise}
 		if c.network != "" {
@@ -100,7 +100,7 @@
 	}
 }
 
-// An address outside the networks is neither accepted nor called.
+// The transport neither accepts data from an address outside the networks nor sends to it.
 func TestTransportNetworks(t *testing.T) {
 	tr, drops := openTestTransport(t, "127.0.0.9:0", smallLimits, "127.0.0.8/29")
 	stranger, _ := openTestTransport(t, "127.0.0.1:0", defaultLimits)
@@ -113,9 +113,9 @@
 	c.Close()
 	assert.Equal(t, droppedNetwork, <-drops)
 	_, err = tr.WriteTo([]byte("hello"), stranger.bound.String())
-	require.ErrorContains(t, err, "lies in none of the networks")
+	require.ErrorContains(t, err, "is not in any of the networks")
 	_, err = tr.DialTimeout(stranger.bound.String(), time.Minute)
-	require.ErrorContains(t, err, "lies in none of the networks")
+	require.ErrorContains(t, err, "is not in any of the networks")
 	assert.Len(t, drops, 2)
 	member, _ := openTestTransport(t, "127.0.0.10:0", defaultLimits)
 	_, err = member.WriteTo([]byte("hello"), tr.bound.String())
@@ -138,17 +138,18 @@
 		_, err := from.WriteTo(b, tr.bound.String())
 		require.NoError(t, err)
 	}
-	assert.Len(t, (<-tr.PacketCh()).Buf, len(compound(0)), "as members send it")
+	assert.Len(t, (<-tr.PacketCh()).Buf, len(compound(0)), "compound message of the form that members send")
 	assert.Len(t, (<-tr.PacketCh()).Buf, 100)
 	for _, reason := range []string{droppedTooLong, droppedEmpty, droppedTooLong, droppedOversized, droppedOversized, droppedOversized,
 		droppedOversized, droppedOversized} {
 		assert.Equal(t, reason, <-drops)
 	}
 	_, err := tr.WriteTo(make([]byte, 101), from.bound.String())
-	require.ErrorContains(t, err, "longer than 100")
+	require.ErrorContains(t, err, "101 bytes exceed the limit of 100")
 }
 
-// A stream is closed when it is idle, old or long, whatever its user waits for.
+// A stream is closed when it exceeds the limits on idle time, lifetime, bytes or announced sizes, regardless of the
+// deadline that its user set.
 func TestTransportStreams(t *testing.T) {
 	send := func(text string) func(net.Conn) error {
 		return func(c net.Conn) error { _, err := io.WriteString(c, text); return err }
@@ -184,7 +185,7 @@
 	s := <-tr.StreamCh()
 	require.NoError(t, s.SetDeadline(time.Now()))
 	_, err := s.Read(make([]byte, 1))
-	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "its user's own deadline")
+	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the user's own deadline")
 	_, err = s.Write(make([]byte, 1001))
 	require.ErrorIs(t, err, errStreamTooLong)
 	require.ErrorIs(t, s.Close(), net.ErrClosed)
@@ -192,7 +193,7 @@
 	assert.Empty(t, drops)
 }
 
-// A stream beyond maxStreams waits for a slot, and is dropped if none is free in time.
+// If maxStreams are open, a new stream waits for a slot, and is dropped if none is free within slotTimeout.
 func TestTransportSlots(t *testing.T) {
 	tr, drops := openTestTransport(t, "127.0.0.9:0", smallLimits)
 	var open []net.Conn
@@ -215,7 +216,7 @@
 	assert.Equal(t, droppedNoSlot, <-drops)
 }
 
-// Shutdown ends all waits: for the library, for a slot, and for the other end.
+// Shutdown ends all blocked operations: delivery to the library, waiting for a slot, and reads from the remote end.
 func TestTransportShutdown(t *testing.T) {
 	tr, _ := openTestTransport(t, "127.0.0.9:0", smallLimits)
 	full, _ := openTestTransport(t, "127.0.0.8:0", smallLimits)
@@ -240,7 +241,7 @@
 	require.NoError(t, tr.Shutdown())
 }
 
-// The library works while a stranger sends garbage.
+// Members join each other while another address sends random data.
 func TestTransportCarriesMemberlist(t *testing.T) {
 	var all []*memberlist.Memberlist
 	var at []*Transport
@@ -266,7 +267,7 @@
 		require.NoError(t, err)
 		if i%10 == 0 {
 			c := mustDial(t, at[0])
-			_, _ = io.Copy(c, bytes.NewReader(junk)) // the transport may close it earlier
+			_, _ = io.Copy(c, bytes.NewReader(junk)) // the transport may close the connection before the end
 			c.Close()
 		}
 	}
@@ -279,7 +280,7 @@
 	}
 }
 
-// Failed reads of packets are retried at intervals that grow to 100 ms, with few log lines.
+// Failed reads of packets are retried after delays that grow to 100 ms, and their log lines are rate-limited.
 func TestTransportReadFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var text bytes.Buffer
--- a/internal/membership/view/client.go
+++ b/internal/membership/view/client.go
@@ -24,53 +24,53 @@
 
 	defaultTimeout     = 3 * time.Second
 	defaultMaxParallel = 16
-	// defaultIdleTimeout ends a watch that is silent. A process sends an empty line each 2 s.
+	// defaultIdleTimeout ends a watch without data. A process sends an empty line every 2 s.
 	defaultIdleTimeout = 7 * time.Second
 	maxReportBytes     = 16 << 20
-	maxErrorBytes      = 1 << 10 // of an error's text that are kept
+	maxErrorBytes      = 1 << 10 // length to which the body of an error response is cut
 
 	firstRetryDelay = 250 * time.Millisecond
 	maxRetryDelay   = 10 * time.Second
 )
 
-// Client calls processes at their management addresses, or copies of the list service at theirs. Its zero value is
-// ready.
+// Client sends requests to the management addresses of processes, or to the addresses of replicas of the list service.
+// The zero value is ready for use.
 type Client struct {
-	Timeout     time.Duration // for a whole answer; 0: defaultTimeout
-	MaxParallel int           // processes that Observe calls at a time; 0: defaultMaxParallel
+	Timeout     time.Duration // for a whole request and response; 0 means defaultTimeout
+	MaxParallel int           // concurrent requests of Observe; 0 means defaultMaxParallel
 
-	retryDelay  time.Duration // before a watch is restarted the first time; 0: firstRetryPause
-	idleTimeout time.Duration // after which a silent watch is restarted; 0: defaultIdleTimeout
+	retryDelay  time.Duration // before the first restart of a watch; 0 means firstRetryDelay
+	idleTimeout time.Duration // without data, after which a watch is restarted; 0 means defaultIdleTimeout
 }
 
-// StatusError is an answer with a status other than 2xx.
+// StatusError is returned for a response with a status other than 2xx.
 type StatusError struct {
-	Code int
-	Text string // the beginning of the body
+	Code int    // HTTP status
+	Text string // the beginning of the body, at most maxErrorBytes
 }
 
-// Error returns the status and the text.
+// Error implements error.
 func (e *StatusError) Error() string {
 	if e.Code == http.StatusNotFound {
-		return fmt.Sprintf("answers 404: it has no section members, or knows no such process (%s)", e.Text)
+		return fmt.Sprintf("response status 404: the process has no section members, or does not know the given process (%s)", e.Text)
 	}
-	return fmt.Sprintf("answers %d: %s", e.Code, e.Text)
+	return fmt.Sprintf("response status %d: %s", e.Code, e.Text)
 }
 
-// CheckAddr checks that an address is a HOST:PORT, before any call.
+// CheckAddr returns an error if an address is not of the form HOST:PORT. It does not connect to the address.
 func CheckAddr(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err == nil && (host == "" || port == "") {
 		err = errors.New("host or port is empty")
 	}
 	if err != nil {
-		return fmt.Errorf("%q is no HOST:PORT: %w", addr, err)
+		return fmt.Errorf("%q is not HOST:PORT: %w", addr, err)
 	}
 	return nil
 }
 
-// open sends a request and returns the body of a 2xx answer. Each request has its own connection, as management
-// addresses keep none open.
+// open sends a request and returns the body of a 2xx response. Each request uses its own connection, as management
+// addresses close connections after each response.
 func (c *Client) open(ctx context.Context, method, url string, body []byte) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -82,13 +82,13 @@
 	}
 	if resp.StatusCode/100 != 2 {
 		defer resp.Body.Close()
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes)) // a part is enough
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes)) // an incomplete text is sufficient
 		return nil, &StatusError{Code: resp.StatusCode, Text: string(bytes.TrimSpace(text))}
 	}
 	return resp.Body, nil
 }
 
-// fetch sends a request and returns the whole body of a 2xx answer.
+// fetch sends a request and returns the whole body of a 2xx response.
 func (c *Client) fetch(ctx context.Context, method, url string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, orDefault(c.Timeout, defaultTimeout))
 	defer cancel()
@@ -99,7 +99,7 @@
 	defer responseBody.Close()
 	data, err := io.ReadAll(io.LimitReader(responseBody, maxReportBytes+1))
 	if err == nil && len(data) > maxReportBytes {
-		err = fmt.Errorf("its answer is longer than %d bytes", maxReportBytes)
+		err = fmt.Errorf("response is longer than %d bytes", maxReportBytes)
 	}
 	return data, err
 }
@@ -111,7 +111,7 @@
 	return byDefault
 }
 
-// Report gets the report of one process.
+// Report fetches the report of one process.
 func (c *Client) Report(ctx context.Context, addr string) (*membership.Report, error) {
 	data, err := c.fetch(ctx, http.MethodGet, "http://"+addr+membersPath, nil)
 	if err != nil {
@@ -123,21 +123,21 @@
 func parseReport(data []byte) (*membership.Report, error) {
 	r := &membership.Report{}
 	if err := json.Unmarshal(data, r); err != nil {
-		return nil, fmt.Errorf("its answer is no report: %w", err)
+		return nil, fmt.Errorf("parse report: %w", err)
 	}
 	if r.Self.Name == "" {
-		return nil, errors.New("its answer is no report: it has no self")
+		return nil, errors.New("parse report: self has no name")
 	}
 	return r, nil
 }
 
-// Leave has a process leave its fleet.
+// Leave requests that a process leave its fleet.
 func (c *Client) Leave(ctx context.Context, addr string) error {
 	_, err := c.fetch(ctx, http.MethodPost, "http://"+addr+membersPath+"/leave", nil)
 	return err
 }
 
-// ConfirmGone tells a process that another one is gone.
+// ConfirmGone sends a process the operator's confirmation that another process is gone.
 func (c *Client) ConfirmGone(ctx context.Context, addr string, id roster.ID) error {
 	body, err := json.Marshal(id)
 	if err != nil {
@@ -147,8 +147,8 @@
 	return err
 }
 
-// Observe gets the reports of all processes at once, and once more the given time after the last of them answered, from
-// those that did. The results are in the order of the addresses.
+// Observe fetches the reports of all processes concurrently. After the last response it waits for interval and fetches
+// the reports of those that responded once more. The results are in the order of addrs.
 func (c *Client) Observe(ctx context.Context, addrs []string, interval time.Duration) []Observation {
 	out := make([]Observation, len(addrs))
 	for i, addr := range addrs {
@@ -169,7 +169,7 @@
 	return out
 }
 
-// forEach calls a function for each observation, at most MaxParallel at a time.
+// forEach calls a function for each observation, with at most MaxParallel calls at a time.
 func (c *Client) forEach(all []Observation, do func(*Observation)) {
 	limit := c.MaxParallel
 	if limit <= 0 {
@@ -187,9 +187,10 @@
 	wg.Wait()
 }
 
-// Watch calls onReport for each report that a process sends as it changes, with the line that it was parsed from, until
-// ctx ends. A watch that ends or is silent is restarted after a growing pause; onFailure is called before the pause. Watch
-// returns an error after an answer with a 4xx status other than 429, and the error of onReport if that fails.
+// Watch calls onReport with the report of a process each time it changes, and with the line that the report was parsed
+// from, until ctx ends. A watch that ends or receives no data is restarted with exponential backoff. onFailure is
+// called before each delay. Watch returns an error after a response with a 4xx status other than 429, and the error of
+// onReport if that fails.
 func (c *Client) Watch(ctx context.Context, addr string, onReport func(*membership.Report, []byte) error,
 	onFailure func(err error, delay time.Duration)) error {
 	retryBackoff := backoff.NewExponentialBackOff()
@@ -221,16 +222,16 @@
 	}
 }
 
-// callbackError is the error of Watch's onReport.
+// callbackError wraps an error of Watch's onReport.
 type callbackError struct{ err error }
 
-// Error returns the text of the callback's error.
+// Error implements error.
 func (e *callbackError) Error() string { return e.err.Error() }
 
-// errIdle means that a watch was silent for the idle timeout.
-var errIdle = errors.New("nothing came, not even the empty line that is due each 2 s")
+// errIdle means that a watch received no data within the idle timeout.
+var errIdle = errors.New("watch idle: no data received, not even the empty line that is due every 2 s")
 
-// watchOnce is one watch without restarts.
+// watchOnce performs one watch without restarts.
 func (c *Client) watchOnce(ctx context.Context, addr string, onReport func(*membership.Report, []byte) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -267,5 +268,5 @@
 	case lines.Err() != nil:
 		return lines.Err()
 	}
-	return errors.New("the process ended the watch")
+	return errors.New("watch ended by the process")
 }
--- a/internal/membership/view/client_test.go
+++ b/internal/membership/view/client_test.go
@@ -30,7 +30,7 @@
 
 const oneReport = `{"self":{"name":"n0","start":1},"changes":%d}` + "\n"
 
-// A watch that ends, is silent or sends garbage is restarted; a 404 ends it.
+// A watch that ends, receives no data or receives garbage is restarted. A response with status 404 ends it.
 func TestWatch_Restarts(t *testing.T) {
 	var calls atomic.Int64
 	addr := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -40,7 +40,7 @@
 		case 2:
 			fmt.Fprintf(w, oneReport, 2)
 			w.(http.Flusher).Flush()
-			<-r.Context().Done() // silent until the client gives up
+			<-r.Context().Done() // no data until the client closes the connection
 		case 3:
 			fmt.Fprintln(w, "garbage")
 		case 4:
@@ -62,7 +62,7 @@
 	require.ErrorAs(t, err, &status)
 	assert.Equal(t, http.StatusNotFound, status.Code)
 	assert.Equal(t, []uint64{1, 2, 3}, changes)
-	for i, want := range []string{"ended", "nothing came", "no report", "503: busy", "ended"} {
+	for i, want := range []string{"ended", "watch idle: no data received", "parse report", "response status 503: busy", "ended"} {
 		assert.Contains(t, failures[i], want)
 	}
 	stop := errors.New("enough")
@@ -70,7 +70,8 @@
 	assert.Equal(t, stop, c.Watch(t.Context(), addr, func(*membership.Report, []byte) error { return stop }, nil))
 }
 
-// All processes are called, at most MaxParallel at a time, and one that hangs does not affect the others.
+// Observe sends requests to all processes, at most MaxParallel at a time. A process that hangs does not affect the
+// others.
 func TestObserve_ParallelAndTimeout(t *testing.T) {
 	var running, maxRunning atomic.Int64
 	good := func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/membership/view/diff.go
+++ b/internal/membership/view/diff.go
@@ -1,4 +1,4 @@
-// Package view gets the reports of several processes of a fleet and compares them.
+// Package view fetches the membership reports of several processes of a fleet and compares them.
 package view
 
 import (
@@ -14,48 +14,49 @@
 	"marblelane/internal/membership/roster"
 )
 
-// Unknown is the state of a member at a process whose report does not name it.
+// Unknown is the state of a member in the view of a process whose report does not list it.
 const Unknown membership.MemberState = "unknown"
 
-// Observation is the reports of one process at two moments.
+// Observation holds the reports of one process at two moments.
 type Observation struct {
-	Addr          string
-	First, Second *membership.Report // nil if there was no answer
-	Err           error              // why there was none
+	Addr          string             // HOST:PORT of the process
+	First, Second *membership.Report // nil if the request failed or was not sent
+	Err           error              // the reason of the first failure
 }
 
-// Complete reports whether the process answered at both moments.
+// Complete reports whether there are reports of both moments.
 func (o *Observation) Complete() bool { return o.First != nil && o.Second != nil }
 
-// MemberView is the state of a member at one process.
+// MemberView is the state of a member in the report of one process.
 type MemberView struct {
-	Addr    string                 `json:"addr"` // of the process
+	Addr    string                 `json:"addr"` // HOST:PORT of the reporting process
 	State   membership.MemberState `json:"state"`
 	Proof   string                 `json:"proof,omitempty"`
-	SinceMS int64                  `json:"since_ms"` // how long it has been in State; -1: Unknown
+	SinceMS int64                  `json:"since_ms"` // how long it has been in State; -1 if State is Unknown
 }
 
-// Stage tells differences that persist from those that are about to end. The texts are part of the JSON form.
+// Stage classifies a difference by when it was observed. The texts are part of the JSON form.
 type Stage string
 
 // The stages of a difference.
 const (
-	Persistent Stage = "lasting" // no process changed its view between the two moments
-	Emerging   Stage = "news"    // it is there at the second moment, and some view has changed since the first
-	Resolved   Stage = "settled" // it was there at the first moment alone
+	Persistent Stage = "lasting" // present at the second moment, and no view changed since the first
+	Emerging   Stage = "news"    // present at the second moment, and at least one view changed since the first
+	Resolved   Stage = "settled" // present only at the first moment
 )
 
-// Difference is a member that has different states at different processes.
+// Difference describes a member whose state differs between processes.
 type Difference struct {
 	Member roster.ID `json:"member"`
 	Stage  Stage     `json:"stage"`
-	// ForMS is how long two of the processes have differed as they do at the second moment; 0 if Resolved.
+	// ForMS is how long two processes have had the views that differ at the second moment, in milliseconds. 0 if
+	// Resolved.
 	ForMS int64        `json:"for_ms"`
-	Views []MemberView `json:"sayings"` // at the second moment, of all complete observations, by address
+	Views []MemberView `json:"sayings"` // at the second moment, one per complete observation, ordered by address
 }
 
-// Diff returns the members whose state differs between processes at either moment, by name and start. It ignores
-// incomplete observations.
+// Diff returns the members whose state differs between processes at either moment, ordered by name and start. It
+// ignores incomplete observations.
 func Diff(observations []Observation) []Difference {
 	var complete []Observation
 	for _, o := range observations {
@@ -90,7 +91,7 @@
 	return out
 }
 
-// viewsByMember returns the views of each member that some process names, in the order of the observations.
+// viewsByMember returns the views of each member that at least one report lists, in the order of the observations.
 func viewsByMember(observations []Observation, moment func(*Observation) *membership.Report) map[roster.ID][]MemberView {
 	all := map[roster.ID][]MemberView{}
 	for i := range observations {
@@ -105,7 +106,7 @@
 	return all
 }
 
-// allUnknown returns the views of a member that no process names.
+// allUnknown returns the views of a member that no report lists.
 func allUnknown(observations []Observation) []MemberView {
 	views := make([]MemberView, len(observations))
 	for i := range observations {
@@ -127,9 +128,9 @@
 	return !slices.ContainsFunc(views, func(v MemberView) bool { return v.State != views[0].State })
 }
 
-// differenceAge returns how long two of the processes have had their different views, in milliseconds. Two views differ
-// for the shorter of their ages, so the result is the second largest among the ages of the oldest view of each state. A
-// process that does not know the member has not known it for as long as it runs.
+// differenceAge returns how long two of the processes have had different views, in milliseconds. Two views differ for
+// the shorter of their ages, so the result is the second largest among the ages of the oldest view of each state. The
+// age of the state Unknown is taken to be the time for which the process has been running.
 func differenceAge(views []MemberView, observations []Observation) int64 {
 	oldest := map[membership.MemberState]int64{}
 	for i, v := range views {
@@ -143,7 +144,7 @@
 	return ages[len(ages)-2]
 }
 
-// ownAge returns how long the reporting process has been in its state, in milliseconds.
+// ownAge returns how long the reporting process has listed itself in its current state, in milliseconds.
 func ownAge(r *membership.Report) int64 {
 	for _, m := range r.Members {
 		if m.Name == r.Self.Name && m.Start == r.Self.Start {
@@ -159,8 +160,8 @@
 
 func idOf(m membership.Member) roster.ID { return roster.ID{Name: m.Name, Start: m.Start} }
 
-// Digest is equal for two reports that name the same processes and the same ones of them as gone, whatever their other
-// states are. Reports that differ in that have different digests, but for collisions.
+// Digest returns a digest of the processes that a report lists and of which ones among them are gone. Other differences
+// between states do not change it. Except for hash collisions, it differs between reports that differ in those two.
 func Digest(r *membership.Report) uint64 {
 	members := slices.SortedFunc(slices.Values(r.Members), func(a, b membership.Member) int {
 		return compareIDs(idOf(a), idOf(b))
@@ -180,11 +181,11 @@
 
 // Change is a change of a member's state between two reports of one process.
 type Change struct {
-	Member   membership.Member      // as in the later report that names it
-	From, To membership.MemberState // Unknown: the report does not name it
+	Member   membership.Member      // as listed in the later report, or in the earlier one if only that lists it
+	From, To membership.MemberState // Unknown if the report does not list the member
 }
 
-// Changes returns what changed from one report of a process to a later one, by name and start.
+// Changes returns the state changes from one report of a process to a later one, ordered by name and start.
 func Changes(before, after []membership.Member) []Change {
 	unmatched := map[roster.ID]membership.Member{}
 	for _, m := range before {
--- a/internal/membership/view/diff_test.go
+++ b/internal/membership/view/diff_test.go
@@ -17,7 +17,7 @@
 var states = []membership.MemberState{membership.Alive, membership.Suspected, membership.Silent, membership.Gone,
 	Unknown}
 
-// drawReport draws a report that names some of a few members.
+// drawReport draws a report that lists a random selection of six members.
 func drawReport(t *rapid.T, self int) *membership.Report {
 	r := &membership.Report{Self: roster.ID{Name: fmt.Sprint("n", self), Start: 1}}
 	for _, name := range []string{"n0", "n1", "n2"} {
@@ -31,7 +31,7 @@
 	return r
 }
 
-// drawObservations draws observations, some of them incomplete, some without a change.
+// drawObservations draws observations, including incomplete ones and ones without a change.
 func drawObservations(t *rapid.T) []Observation {
 	var all []Observation
 	for i := range rapid.IntRange(0, 4).Draw(t, "processes") {
@@ -57,7 +57,8 @@
 	return Unknown
 }
 
-// checkDiff compares each pair of processes on each member, and returns an error if diff misses or misstates a difference.
+// checkDiff compares the views of each pair of processes for each member, and returns an error if diff omits a
+// difference or describes it incorrectly.
 func checkDiff(diff func([]Observation) []Difference, all []Observation) error {
 	want, got := map[roster.ID]Stage{}, map[roster.ID]Stage{}
 	for _, name := range []string{"n0", "n1", "n2"} {
@@ -91,12 +92,12 @@
 		for _, v := range d.Views {
 			i := slices.IndexFunc(all, func(a Observation) bool { return a.Addr == v.Addr })
 			if v.State != stateAt(all[i].Second, d.Member) {
-				return fmt.Errorf("%s has another view of %v", v.Addr, d.Member)
+				return fmt.Errorf("diff returns a wrong state of %[2]v at %[1]s", v.Addr, d.Member)
 			}
 		}
 	}
 	if text := cmp.Diff(want, got); text != "" {
-		return fmt.Errorf("pairs differ as -, diff returns +:\n%s", text)
+		return fmt.Errorf("stages by pairwise comparison (-) and by diff (+):\n%s", text)
 	}
 	return nil
 }
@@ -122,7 +123,7 @@
 		first, second := drawReport(t, 0), drawReport(t, 0)
 		var all []Observation
 		for i := range 3 {
-			other := *second // with other times
+			other := *second // same states, different ages
 			other.Members = slices.Clone(second.Members)
 			for k := range other.Members {
 				other.Members[k].SinceMS += int64(i)
@@ -135,8 +136,8 @@
 	})
 }
 
-// Planted defects: a diff that misses members that the first process does not name, and one that takes an emerging
-// difference for a persistent one.
+// checkDiff detects planted defects: a diff that omits all differences, and one that reports an emerging difference as
+// persistent.
 func TestDiff_PlantedDefects(t *testing.T) {
 	one := &membership.Report{Members: []membership.Member{{Name: "n0", Start: 1, State: membership.Alive, SinceMS: 5}}}
 	none := &membership.Report{Members: []membership.Member{}}
@@ -164,8 +165,8 @@
 		}
 		return all
 	}
-	assert.EqualValues(t, 40, Diff(observe(alive, silent))[0].ForMS, "since one of them has it as silent")
-	assert.EqualValues(t, 30, Diff(observe(alive, young))[0].ForMS, "since the one that does not know it runs")
+	assert.EqualValues(t, 40, Diff(observe(alive, silent))[0].ForMS, "since one of them reports the member as silent")
+	assert.EqualValues(t, 30, Diff(observe(alive, young))[0].ForMS, "since the start of the one that does not list the member")
 	assert.EqualValues(t, 40, Diff(observe(young, alive, silent))[0].ForMS)
 	assert.Equal(t, Digest(alive), Digest(silent), "reachability does not matter")
 	assert.NotEqual(t, Digest(alive), Digest(report(membership.Gone, 0, 0)))
--- a/internal/membership/view/wire_test.go
+++ b/internal/membership/view/wire_test.go
@@ -12,7 +12,7 @@
 	"marblelane/internal/membership/roster"
 )
 
-// TestWireForms compares the JSON form of differences and the digest of a report with recorded bytes.
+// TestWireForms compares the JSON form of differences and the digest of a report with a golden file.
 func TestWireForms(t *testing.T) {
 	report := func(addr string, state membership.MemberState, proof string) *membership.Report {
 		return &membership.Report{Self: roster.ID{Name: addr, Start: 1}, Members: []membership.Member{
