--- a/internal/membership/roster/model/fleet.go
+++ b/internal/membership/roster/model/fleet.go
@@ -166,20 +166,20 @@
 // startRandomProcess starts a process of a new name, or the next process of a known name. The previous process of that
 // name may still be running.
 func (f *Fleet) startRandomProcess(p *process) {
-	waiting, running := 0, 0
+	joining, running := 0, 0
 	for _, q := range f.processes {
 		if q.running && (!q.view.Admitted || q.view.Forced) {
-			waiting++
+			joining++
 		}
 		if q.running && !q.leaving {
 			running++
 		}
 	}
-	if !f.anyAdmitted || running > f.Size+f.NewNames || waiting >= f.Peers-1 {
+	if !f.anyAdmitted || running > f.Size+f.NewNames || joining >= f.Peers-1 {
 		return // Peers joining processes could acknowledge each other and count as a complete fleet
 	}
-	if gone := f.pick(func(q *process) bool { return !q.running }); gone != nil && f.random.IntN(8) > 0 {
-		p = gone
+	if stopped := f.pick(func(q *process) bool { return !q.running }); stopped != nil && f.random.IntN(8) > 0 {
+		p = stopped
 	}
 	name := p.roster.Self().Name
 	if f.NewNames > 0 && f.random.IntN(2) == 0 {
@@ -225,11 +225,11 @@
 
 // proveGone has a process obtain a proof that another one is gone.
 func (f *Fleet) proveGone(p *process) {
-	gone := f.pick(func(q *process) bool { return q != p && (!q.running || f.FalseProofs) })
-	if gone == nil {
+	target := f.pick(func(q *process) bool { return q != p && (!q.running || f.FalseProofs) })
+	if target == nil {
 		return
 	}
-	id := gone.roster.Self()
+	id := target.roster.Self()
 	f.logEvent("%v proves %v gone", p.roster.Self(), id)
 	f.merge(p, goneEntry(id, roster.ProofRefused))
 }
@@ -371,7 +371,7 @@
 
 // Converge heals the partition, ends the leaving processes, and has all processes exchange their entries and learn of
 // every ended process by a proof.
-func (f *Fleet) Converge() (r ConvergedState) {
+func (f *Fleet) Converge() (result ConvergedState) {
 	f.partitioned, f.inFlight = false, nil
 	for _, p := range f.processes {
 		p.secondSide, p.running = false, p.running && !p.leaving
@@ -391,19 +391,19 @@
 			}
 		}
 		f.advance(time.Minute)
-		r.Sum = f.QuotaSum(true)
+		result.Sum = f.QuotaSum(true)
 	}
 	names := map[string]bool{}
 	for _, p := range f.processes {
 		if p.running {
-			r.Duplicates++
+			result.Duplicates++
 			names[p.roster.Self().Name] = true
 			if p.view.Admitted {
-				r.Admitted++
+				result.Admitted++
 			}
 		}
 	}
-	r.Names = len(names)
-	r.Duplicates -= r.Names
-	return r
+	result.Names = len(names)
+	result.Duplicates -= result.Names
+	return result
 }
--- a/internal/membership/roster/model/search.go
+++ b/internal/membership/roster/model/search.go
@@ -222,9 +222,9 @@
 	if !slices.ContainsFunc(all, contradicted) {
 		return r
 	}
-	c := roster.New(now, o)
-	c.Merge(now, slices.DeleteFunc(all, contradicted)...)
-	return c
+	kept := roster.New(now, o)
+	kept.Merge(now, slices.DeleteFunc(all, contradicted)...)
+	return kept
 }
 
 // checkInvariant checks that the quotas of the running processes add up to at most the bound, and that no proof was
--- a/internal/membership/roster/roster_view.go
+++ b/internal/membership/roster/roster_view.go
@@ -91,11 +91,11 @@
 }
 
 func toEntries(all []*process) []Entry {
-	out := make([]Entry, len(all))
+	entries := make([]Entry, len(all))
 	for i, p := range all {
-		out[i] = p.entry()
+		entries[i] = p.entry()
 	}
-	return out
+	return entries
 }
 
 // Len returns the number of entries.
--- a/internal/membership/transport/transport.go
+++ b/internal/membership/transport/transport.go
@@ -140,13 +140,13 @@
 // In that case bind tries again.
 func (t *Transport) bind(addr string) error {
 	const maxAttempts = 16
-	at, err := net.ResolveTCPAddr("tcp", addr)
+	requested, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		return err
 	}
 	for range maxAttempts {
 		var tcp *net.TCPListener
-		if tcp, err = net.ListenTCP("tcp", at); err != nil {
+		if tcp, err = net.ListenTCP("tcp", requested); err != nil {
 			return err
 		}
 		t.tcp = listener.Wrap(tcp, "members", t.log)
@@ -157,7 +157,7 @@
 			return nil
 		}
 		_ = t.tcp.Close() // no connection was accepted yet
-		if at.Port != 0 || !errors.Is(err, syscall.EADDRINUSE) {
+		if requested.Port != 0 || !errors.Is(err, syscall.EADDRINUSE) {
 			break
 		}
 	}
@@ -168,13 +168,13 @@
 func (t *Transport) setAdvertise(addr string) error {
 	t.advertise = t.bound
 	if addr != "" {
-		at, err := net.ResolveTCPAddr("tcp", addr)
+		resolved, err := net.ResolveTCPAddr("tcp", addr)
 		if err != nil {
 			return err
 		}
-		ip, _ := netip.AddrFromSlice(at.IP)
-		t.advertise = netip.AddrPortFrom(ip.Unmap(), uint16(at.Port))
-		if at.Port == 0 {
+		ip, _ := netip.AddrFromSlice(resolved.IP)
+		t.advertise = netip.AddrPortFrom(ip.Unmap(), uint16(resolved.Port))
+		if resolved.Port == 0 {
 			t.advertise = netip.AddrPortFrom(ip.Unmap(), t.bound.Port())
 		}
 	}
@@ -198,16 +198,16 @@
 // parseTarget parses the address of a packet or stream to send. Such addresses come from other members, so they must be
 // in the networks. Otherwise a member could make this one send to any address.
 func (t *Transport) parseTarget(addr string) (netip.AddrPort, error) {
-	to, err := netip.ParseAddrPort(addr)
+	target, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return to, err
+		return target, err
 	}
-	to = netip.AddrPortFrom(to.Addr().Unmap(), to.Port())
-	if !InNetworks(t.networks, to.Addr()) {
+	target = netip.AddrPortFrom(target.Addr().Unmap(), target.Port())
+	if !InNetworks(t.networks, target.Addr()) {
 		t.dropped(droppedNetwork)
-		return to, fmt.Errorf("%s is not in any of the networks %v", addr, t.networks)
+		return target, fmt.Errorf("%s is not in any of the networks %v", addr, t.networks)
 	}
-	return to, nil
+	return target, nil
 }
 
 // PacketCh returns the channel of received packets.
@@ -298,7 +298,7 @@
 	failures := readFailures{backoff: retry.NewBackoff()}
 	for {
 		n, from, err := t.udp.ReadFromUDPAddrPort(buf)
-		at := time.Now()
+		receivedAt := time.Now()
 		if err != nil {
 			if !t.waitAfterReadFailure(&failures, err) {
 				return
@@ -317,9 +317,9 @@
 			t.dropped(droppedOversized)
 		default:
 			from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-			p := &memberlist.Packet{Buf: bytes.Clone(buf[:n]), From: net.UDPAddrFromAddrPort(from), Timestamp: at}
+			packet := &memberlist.Packet{Buf: bytes.Clone(buf[:n]), From: net.UDPAddrFromAddrPort(from), Timestamp: receivedAt}
 			select {
-			case t.packetCh <- p:
+			case t.packetCh <- packet:
 			case <-t.ctx.Done():
 				return
 			}
--- a/internal/membership/transport/transport_test.go
+++ b/internal/membership/transport/transport_test.go
@@ -219,24 +219,24 @@
 // Shutdown ends all blocked operations: delivery to the library, waiting for a slot, and reads from the remote end.
 func TestTransportShutdown(t *testing.T) {
 	tr, _ := openTestTransport(t, "127.0.0.9:0", smallLimits)
-	full, _ := openTestTransport(t, "127.0.0.8:0", smallLimits)
-	_, err := full.WriteTo([]byte("not received"), tr.bound.String())
+	remote, _ := openTestTransport(t, "127.0.0.8:0", smallLimits)
+	_, err := remote.WriteTo([]byte("not received"), tr.bound.String())
 	require.NoError(t, err)
 	for range smallLimits.maxStreams {
 		mustDial(t, tr)
 		go io.Copy(io.Discard, <-tr.StreamCh()) // ends when the stream is closed
 	}
 	mustDial(t, tr)
-	out, err := tr.DialTimeout(full.bound.String(), time.Minute)
+	outgoing, err := tr.DialTimeout(remote.bound.String(), time.Minute)
 	require.NoError(t, err)
 	done := make(chan error)
 	go func() {
-		_, err := out.Read(make([]byte, 1))
+		_, err := outgoing.Read(make([]byte, 1))
 		done <- err
 	}()
 	require.NoError(t, tr.Shutdown())
 	require.Error(t, <-done)
-	_, err = tr.DialTimeout(full.bound.String(), time.Minute)
+	_, err = tr.DialTimeout(remote.bound.String(), time.Minute)
 	require.Error(t, err)
 	require.NoError(t, tr.Shutdown())
 }
--- a/internal/membership/view/client.go
+++ b/internal/membership/view/client.go
@@ -150,23 +150,23 @@
 // Observe fetches the reports of all processes concurrently. After the last response it waits for interval and fetches
 // the reports of those that responded once more. The results are in the order of addrs.
 func (c *Client) Observe(ctx context.Context, addrs []string, interval time.Duration) []Observation {
-	out := make([]Observation, len(addrs))
+	observations := make([]Observation, len(addrs))
 	for i, addr := range addrs {
-		out[i].Addr = addr
+		observations[i].Addr = addr
 	}
-	c.forEach(out, func(o *Observation) { o.First, o.Err = c.Report(ctx, o.Addr) })
+	c.forEach(observations, func(o *Observation) { o.First, o.Err = c.Report(ctx, o.Addr) })
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	c.forEach(out, func(o *Observation) {
+	c.forEach(observations, func(o *Observation) {
 		if o.Err == nil {
 			o.Second, o.Err = c.Report(ctx, o.Addr)
 		}
 	})
-	return out
+	return observations
 }
 
 // forEach calls a function for each observation, with at most MaxParallel calls at a time.
--- a/internal/membership/view/diff.go
+++ b/internal/membership/view/diff.go
@@ -69,16 +69,16 @@
 	second := viewsByMember(complete, func(o *Observation) *membership.Report { return o.Second })
 	members := maps.Clone(second)
 	maps.Copy(members, first)
-	var out []Difference
+	var differences []Difference
 	for _, id := range slices.SortedFunc(maps.Keys(members), compareIDs) {
 		before, after := viewsOf(first, id, complete), viewsOf(second, id, complete)
 		d := Difference{Member: id, Views: after}
 		switch {
-		case !agree(after) && slices.EqualFunc(before, after, sameState):
+		case !allEqual(after) && slices.EqualFunc(before, after, sameState):
 			d.Stage = Persistent
-		case !agree(after):
+		case !allEqual(after):
 			d.Stage = Emerging
-		case !agree(before):
+		case !allEqual(before):
 			d.Stage = Resolved
 		default:
 			continue
@@ -86,9 +86,9 @@
 		if d.Stage != Resolved {
 			d.ForMS = differenceAge(after, complete)
 		}
-		out = append(out, d)
+		differences = append(differences, d)
 	}
-	return out
+	return differences
 }
 
 // viewsByMember returns the views of each member that at least one report lists, in the order of the observations.
@@ -124,7 +124,7 @@
 
 func sameState(a, b MemberView) bool { return a.State == b.State }
 
-func agree(views []MemberView) bool {
+func allEqual(views []MemberView) bool {
 	return !slices.ContainsFunc(views, func(v MemberView) bool { return v.State != views[0].State })
 }
 
@@ -191,7 +191,7 @@
 	for _, m := range before {
 		unmatched[idOf(m)] = m
 	}
-	var out []Change
+	var changes []Change
 	for _, m := range after {
 		from := Unknown
 		if old, ok := unmatched[idOf(m)]; ok {
@@ -199,12 +199,12 @@
 		}
 		delete(unmatched, idOf(m))
 		if from != m.State {
-			out = append(out, Change{Member: m, From: from, To: m.State})
+			changes = append(changes, Change{Member: m, From: from, To: m.State})
 		}
 	}
 	for _, m := range unmatched {
-		out = append(out, Change{Member: m, From: m.State, To: Unknown})
+		changes = append(changes, Change{Member: m, From: m.State, To: Unknown})
 	}
-	slices.SortFunc(out, func(a, b Change) int { return compareIDs(idOf(a.Member), idOf(b.Member)) })
-	return out
+	slices.SortFunc(changes, func(a, b Change) int { return compareIDs(idOf(a.Member), idOf(b.Member)) })
+	return changes
 }
--- a/internal/membership/view/diff_test.go
+++ b/internal/membership/view/diff_test.go
@@ -92,7 +92,7 @@
 		for _, v := range d.Views {
 			i := slices.IndexFunc(all, func(a Observation) bool { return a.Addr == v.Addr })
 			if v.State != stateAt(all[i].Second, d.Member) {
-				return fmt.Errorf("diff returns a wrong state of %[2]v at %[1]s", v.Addr, d.Member)
+				return fmt.Errorf("%s: diff returns a wrong state of %v", v.Addr, d.Member)
 			}
 		}
 	}
