--- a/internal/membership/owner.go
+++ b/internal/membership/owner.go
@@ -191,5 +191,5 @@
 
 // removedEntry returns an entry with a proof that a process has ended.
 func removedEntry(id roster.ID, proof roster.Proof) roster.Entry {
-	return roster.Entry{Name: id.Name, Start: id.Start, Gone: id.Start, Proof: proof}
+	return roster.Entry{Name: id.Name, Start: id.Start, GoneStart: id.Start, Proof: proof}
 }
--- a/internal/membership/roster/model/fleet.go
+++ b/internal/membership/roster/model/fleet.go
@@ -9,34 +9,36 @@
 	"marblelane/internal/membership/roster"
 )
 
-// Random decides what happens next. math/rand/v2 implements it, and so may a generator that shrinks counterexamples.
+// Random chooses the events of a run. *rand.Rand of math/rand/v2 implements it. A generator that shrinks
+// counterexamples can, too.
 type Random interface {
-	IntN(n int) int // in [0, n)
+	IntN(n int) int // returns a number in [0, n)
 }
 
 // FleetConfig configures a random run.
 type FleetConfig struct {
-	Size        int // processes at the beginning, none of which knows another
-	Peers       int
-	NewNames    int           // names that may join later
-	AdmitWithin time.Duration // 0: nobody is admitted by timeout
+	Size        int           // processes at the start of the run, none of which knows another
+	Peers       int           // roster.Options.Peers of all processes
+	NewNames    int           // number of names that may join later
+	AdmitWithin time.Duration // 0 means no admission by timeout
 	Defect      Defect
-	FalseProofs bool // a running process may be taken for gone
-	// MaxProofsPerName bounds the proofs as in roster.Options. A process whose proof is forgotten may be present again.
+	FalseProofs bool // running processes may be proved gone
+	// MaxProofsPerName is that of roster.Options. If it is set, a process whose proof was evicted may become present
+	// again.
 	MaxProofsPerName int
 }
 
-// Fleet is a set of processes, each with a roster and the balancer's estimate of the fleet's size, in one random run.
+// Fleet is a set of processes in one random run. Each has a roster and the balancer's estimate of the fleet's size.
 type Fleet struct {
 	FleetConfig
 	random      Random
 	now         time.Duration
-	processes   []*process // all that ever started
-	inFlight    []message
-	names       int
-	cut         bool
-	anyAdmitted bool     // some process was admitted
-	Log         []string // the events so far
+	processes   []*process // all processes that were started, in this order
+	inFlight    []message  // messages that were sent and may still arrive
+	names       int        // number of names used
+	partitioned bool
+	anyAdmitted bool     // at least one process was admitted during the run
+	Log         []string // the events of the run so far
 }
 
 type process struct {
@@ -44,26 +46,26 @@
 	estimate    balance.FleetEstimate
 	addr        string
 	running     bool
-	leaving     bool          // it has said that it leaves
-	rightSide   bool          // of a cut
-	clockOffset time.Duration // of its clock at the beginning of the run
-	clockRate   float64       // its seconds for each second of the run
+	leaving     bool          // it announced that it leaves, and may still run
+	secondSide  bool          // on the second side of the partition
+	clockOffset time.Duration // its clock at the start of the run
+	clockRate   float64       // seconds of its clock per second of the run
 	view        roster.View
-	gone        map[roster.ID]bool // processes that it knew as gone
-	proofUndone bool               // one of these became present
+	gone        map[roster.ID]bool // whether each process in its roster is proved gone
+	proofUndone bool               // a process that was proved gone became present
 }
 
 type message struct {
 	to      *process
 	by      roster.ID
 	digest  uint64
-	entries []roster.Entry // nil: a digest
+	entries []roster.Entry // nil if the message carries the digest
 }
 
-// neverAdmit stands for no admission by timeout, in nanoseconds.
+// neverAdmit is an AdmitWithin, in nanoseconds, that no run reaches.
 const neverAdmit = 1 << 50
 
-// NewFleet starts the first processes.
+// NewFleet returns a fleet with FleetConfig.Size running processes.
 func NewFleet(c FleetConfig, random Random) *Fleet {
 	if c.AdmitWithin == 0 {
 		c.AdmitWithin = neverAdmit
@@ -71,14 +73,14 @@
 	f := &Fleet{FleetConfig: c, random: random}
 	for range c.Size {
 		f.names++
-		f.start(fmt.Sprintf("p%d", f.names))
+		f.startProcess(fmt.Sprintf("p%d", f.names))
 	}
 	return f
 }
 
-func (f *Fleet) start(name string) *process {
+func (f *Fleet) startProcess(name string) *process {
 	p := &process{running: true, gone: map[roster.ID]bool{}, addr: fmt.Sprintf("host:%d", len(f.processes)+1)}
-	p.rightSide = f.cut && f.random.IntN(2) == 0
+	p.secondSide = f.partitioned && f.random.IntN(2) == 0
 	p.clockOffset = time.Duration(f.random.IntN(1e6)) * time.Second
 	p.clockRate = 0.9 + 0.02*float64(f.random.IntN(11))
 	id := roster.ID{Name: name, Start: f.now.Milliseconds() + int64(len(f.processes)) + 1}
@@ -88,23 +90,23 @@
 	return p
 }
 
-// clock returns the time that a process's clock shows.
+// clock returns the time of a process's clock.
 func (f *Fleet) clock(p *process) time.Duration {
 	return p.clockOffset + time.Duration(p.clockRate*float64(f.now))
 }
 
-// Step plays one random event. It returns an error if the invariant is broken then.
+// Step performs one random event and checks the invariant.
 func (f *Fleet) Step() error {
-	f.playEvent()
-	return f.Check()
+	f.runRandomEvent()
+	return f.CheckInvariant()
 }
 
 func (f *Fleet) logEvent(format string, args ...any) {
 	f.Log = append(f.Log, fmt.Sprintf(format, args...))
 }
 
-// playEvent draws one of 256 equally likely numbers, each of which stands for an event of a random process.
-func (f *Fleet) playEvent() {
+// runRandomEvent performs a random event of a random process. The bounds of the cases are weights out of 256.
+func (f *Fleet) runRandomEvent() {
 	p := f.pick(func(p *process) bool { return p.running })
 	if p == nil {
 		return
@@ -112,16 +114,16 @@
 	switch n := f.random.IntN(256); {
 	case n < 12:
 		f.advance(time.Duration(1) << f.random.IntN(36))
-	case n < 14 || f.cut && n < 20:
-		f.toggleCut()
+	case n < 14 || f.partitioned && n < 20:
+		f.togglePartition()
 	case n < 24:
-		f.startNext(p)
+		f.startRandomProcess(p)
 	case n < 26:
-		f.stop(p)
+		f.leaveOrCrash(p)
 	case n < 46:
-		f.detect(p)
+		f.setVerdict(p)
 	case n < 76:
-		f.prove(p)
+		f.proveGone(p)
 	case n < 110:
 		f.deliver()
 	default:
@@ -149,34 +151,35 @@
 
 func (f *Fleet) advance(d time.Duration) {
 	f.now += d
-	f.logEvent("%v pass", d)
+	f.logEvent("advance the clock by %v", d)
 }
 
-// toggleCut cuts the fleet in two, or heals it.
-func (f *Fleet) toggleCut() {
-	f.cut = !f.cut
+// togglePartition splits the fleet into two sides, or heals the partition.
+func (f *Fleet) togglePartition() {
+	f.partitioned = !f.partitioned
 	for _, p := range f.processes {
-		p.rightSide = f.cut && f.random.IntN(2) == 0
+		p.secondSide = f.partitioned && f.random.IntN(2) == 0
 	}
-	f.logEvent("cut: %v", f.cut)
+	f.logEvent("partitioned: %v", f.partitioned)
 }
 
-// startNext starts a process of a new name, or the next process of a name, beside the one before or after it.
-func (f *Fleet) startNext(p *process) {
-	waiting, running := 0, 0
+// startRandomProcess starts a process of a new name, or the next process of a known name. The previous process of that
+// name may still be running.
+func (f *Fleet) startRandomProcess(p *process) {
+	joining, running := 0, 0
 	for _, q := range f.processes {
 		if q.running && (!q.view.Admitted || q.view.Forced) {
-			waiting++
+			joining++
 		}
 		if q.running && !q.leaving {
 			running++
 		}
 	}
-	if !f.anyAdmitted || running > f.Size+f.NewNames || waiting >= f.Peers-1 {
-		return // as many joining processes as Peers could take themselves for the fleet
+	if !f.anyAdmitted || running > f.Size+f.NewNames || joining >= f.Peers-1 {
+		return // Peers joining processes could acknowledge each other and count as a complete fleet
 	}
-	if gone := f.pick(func(q *process) bool { return !q.running }); gone != nil && f.random.IntN(8) > 0 {
-		p = gone
+	if stopped := f.pick(func(q *process) bool { return !q.running }); stopped != nil && f.random.IntN(8) > 0 {
+		p = stopped
 	}
 	name := p.roster.Self().Name
 	if f.NewNames > 0 && f.random.IntN(2) == 0 {
@@ -184,12 +187,12 @@
 		f.names++
 		name = fmt.Sprintf("p%d", f.names)
 	}
-	q := f.start(name)
+	q := f.startProcess(name)
 	f.logEvent("%v starts", q.roster.Self())
 }
 
-// stop has a process say that it leaves, or crash.
-func (f *Fleet) stop(p *process) {
+// leaveOrCrash has a process announce that it leaves, or crash.
+func (f *Fleet) leaveOrCrash(p *process) {
 	if f.random.IntN(2) == 0 {
 		self := p.roster.Self()
 		left := goneEntry(self, roster.ProofLeft)
@@ -201,40 +204,41 @@
 		p.roster.Merge(f.clock(p), left)
 		p.leaving = true
 		f.logEvent("%v leaves", self)
-		return // it may run on for a while
+		return // it may keep running for a while
 	}
 	p.running = false
 	f.logEvent("%v crashes", p.roster.Self())
 }
 
-// detect gives a process a verdict of its failure detector, right or wrong.
-func (f *Fleet) detect(p *process) {
+// setVerdict sets a random verdict of a process's failure detector, which may be wrong.
+func (f *Fleet) setVerdict(p *process) {
 	all := p.roster.Entries()
 	e := all[f.random.IntN(len(all))]
 	alive := f.random.IntN(2) == 0
 	id := roster.ID{Name: e.Name, Start: e.Start}
-	f.logEvent("%v detects %v as alive: %v", p.roster.Self(), id, alive)
+	f.logEvent("%v: failure detector reports %v alive: %v", p.roster.Self(), id, alive)
 	if !alive && f.Defect == TrustDetector {
 		f.merge(p, goneEntry(id, roster.ProofRefused))
 	}
 	p.roster.SetReachable(f.clock(p), id, alive)
 }
 
-// prove has a process prove that another one is gone.
-func (f *Fleet) prove(p *process) {
-	gone := f.pick(func(q *process) bool { return q != p && (!q.running || f.FalseProofs) })
-	if gone == nil {
+// proveGone has a process obtain a proof that another one is gone.
+func (f *Fleet) proveGone(p *process) {
+	target := f.pick(func(q *process) bool { return q != p && (!q.running || f.FalseProofs) })
+	if target == nil {
 		return
 	}
-	id := gone.roster.Self()
+	id := target.roster.Self()
 	f.logEvent("%v proves %v gone", p.roster.Self(), id)
 	f.merge(p, goneEntry(id, roster.ProofRefused))
 }
 
-// canSend reports whether a message may be sent: one process knows the other, or one of them is admitted and so may be
-// a seed, or none ever was.
+// canSend reports whether a message from p can reach q. Both must be running, not leaving, and on the same side of the
+// partition. One of them must know the other or be admitted, as only admitted processes serve as seeds. Until the first
+// admission, every process may be a seed.
 func (f *Fleet) canSend(p, q *process) bool {
-	if p == q || !p.running || !q.running || p.leaving || q.leaving || p.rightSide != q.rightSide {
+	if p == q || !p.running || !q.running || p.leaving || q.leaving || p.secondSide != q.secondSide {
 		return false
 	}
 	return knows(p, q) || knows(q, p) || p.view.Admitted || q.view.Admitted || !f.anyAdmitted
@@ -247,7 +251,7 @@
 	})
 }
 
-// send sends all entries of a process, or one entry, or its digest.
+// send sends all entries of p, one entry, or its digest to q. The message may also arrive at once.
 func (f *Fleet) send(p, q *process) {
 	m := message{to: q, by: p.roster.Self(), digest: p.roster.Digest()}
 	all := p.roster.Entries()
@@ -260,18 +264,18 @@
 	}
 	f.logEvent("%v sends %d entries, digest %x to %v", m.by, len(m.entries), m.digest, q.roster.Self())
 	f.inFlight = append(f.inFlight, m)
-	if f.random.IntN(2) == 0 { // at once
+	if f.random.IntN(2) == 0 { // arrives at once, and may arrive again
 		f.receive(m)
 	}
 }
 
-// exchange has two processes exchange all entries, and then acknowledge each other.
+// exchange has two processes merge all entries of each other, and then handle the digest of each other.
 func (f *Fleet) exchange(p, q *process) {
-	f.logEvent("%v and %v exchange", p.roster.Self(), q.roster.Self())
+	f.logEvent("%v and %v exchange entries and digests", p.roster.Self(), q.roster.Self())
 	f.merge(q, p.roster.Entries()...)
 	f.merge(p, q.roster.Entries()...)
-	p.roster.Acknowledged(q.roster.Self(), q.roster.Digest())
-	q.roster.Acknowledged(p.roster.Self(), p.roster.Digest())
+	p.roster.HandleDigest(q.roster.Self(), q.roster.Digest())
+	q.roster.HandleDigest(p.roster.Self(), p.roster.Digest())
 }
 
 // deliver delivers, duplicates or drops a random message in flight.
@@ -285,7 +289,7 @@
 	case 0: // lost
 		f.inFlight = slices.Delete(f.inFlight, i, i+1)
 		return
-	case 1: // delivered, and will be again
+	case 1: // delivered, and stays in flight as a duplicate
 	default:
 		f.inFlight = slices.Delete(f.inFlight, i, i+1)
 	}
@@ -298,7 +302,7 @@
 	}
 	f.logEvent("%v receives from %v", m.to.roster.Self(), m.by)
 	if m.entries == nil {
-		m.to.roster.Acknowledged(m.by, m.digest)
+		m.to.roster.HandleDigest(m.by, m.digest)
 		return
 	}
 	f.merge(m.to, m.entries...)
@@ -320,21 +324,21 @@
 	}
 }
 
-// Check checks the invariant: the quotas of the running processes that are not Forced add up to at most 1, and a process
-// that another one knows as gone does not become present for it again.
-func (f *Fleet) Check() error {
+// CheckInvariant checks that the quotas of the running processes that are not Forced add up to at most 1, and that no
+// roster lists a process as present after it listed it as gone.
+func (f *Fleet) CheckInvariant() error {
 	if i := slices.IndexFunc(f.processes, func(p *process) bool { return p.proofUndone }); i >= 0 {
 		return fmt.Errorf("%v: %w", f.processes[i].roster.Self(), ErrProofUndone)
 	}
-	if sum := f.Sum(false); sum > 1+sumTolerance {
+	if sum := f.QuotaSum(false); sum > 1+sumTolerance {
 		return fmt.Errorf("%w: %.4f", ErrQuotaExceeded, sum)
 	}
 	return nil
 }
 
-// Sum updates each running process's estimate of the fleet's size and returns the sum of the quotas, with or without those
-// of Forced processes.
-func (f *Fleet) Sum(forced bool) float64 {
+// QuotaSum updates the estimate of the fleet's size of each running process and returns the sum of their quotas. The
+// quotas of Forced processes are included if forced is set.
+func (f *Fleet) QuotaSum(forced bool) float64 {
 	sum := 0.0
 	for _, p := range f.processes {
 		if !p.running {
@@ -357,19 +361,20 @@
 	return sum
 }
 
-// Settled is what a fleet converges to without further faults.
-type Settled struct {
-	Names      int // names with a running process
-	Admitted   int // admitted processes
-	Duplicates int // processes that run together with a later one of their name
-	Sum        float64
+// ConvergedState is the state that a fleet reaches without further faults.
+type ConvergedState struct {
+	Names      int     // number of names with a running process
+	Admitted   int     // number of admitted processes
+	Duplicates int     // number of running processes beyond one per name
+	Sum        float64 // sum of the quotas of all running processes
 }
 
-// Settle heals the cut, ends the leaving processes, and has all exchange all knowledge, true proofs included.
-func (f *Fleet) Settle() (r Settled) {
-	f.cut, f.inFlight = false, nil
+// Converge heals the partition, ends the leaving processes, and has all processes exchange their entries and learn of
+// every ended process by a proof.
+func (f *Fleet) Converge() (result ConvergedState) {
+	f.partitioned, f.inFlight = false, nil
 	for _, p := range f.processes {
-		p.rightSide, p.running = false, p.running && !p.leaving
+		p.secondSide, p.running = false, p.running && !p.leaving
 	}
 	for range 8 {
 		for _, p := range f.processes {
@@ -386,19 +391,19 @@
 			}
 		}
 		f.advance(time.Minute)
-		r.Sum = f.Sum(true)
+		result.Sum = f.QuotaSum(true)
 	}
 	names := map[string]bool{}
 	for _, p := range f.processes {
 		if p.running {
-			r.Duplicates++
+			result.Duplicates++
 			names[p.roster.Self().Name] = true
 			if p.view.Admitted {
-				r.Admitted++
+				result.Admitted++
 			}
 		}
 	}
-	r.Names = len(names)
-	r.Duplicates -= r.Names
-	return r
+	result.Names = len(names)
+	result.Duplicates -= result.Names
+	return result
 }
--- a/internal/membership/roster/model/search.go
+++ b/internal/membership/roster/model/search.go
@@ -9,54 +9,56 @@
 	"marblelane/internal/membership/roster"
 )
 
-// state is one state of a scenario. It holds numbers in place of rosters, so that equal states compare equal.
+// state is one state of a scenario. It refers to rosters by number, so that states can be compared and used as map
+// keys.
 type state struct {
-	slots                 [MaxSlots]knowledgeID
-	late                  [2]lateMessage
-	side                  uint8 // bit set of the slots on one side of a cut; 0: no cut
-	cuts, crashes, forced uint8 // how many may still happen
+	slots                                   [MaxSlots]knowledgeID
+	delayed                                 [2]delayedMessage
+	partitionSide                           uint8 // bit set of the slots on one side; 0 means no partition
+	partitionsLeft, crashesLeft, forcedLeft uint8 // how many of these faults may still happen
 }
 
-// knowledgeID is the index in search.knowledge of what a process knows, or one of the constants.
+// knowledgeID is an index in search.knowledge, or notStarted or crashed.
 type knowledgeID int32
 
 const (
-	notStarted knowledgeID = 0
-	crashed    knowledgeID = 1
-	firstFree  knowledgeID = 2
+	notStarted       knowledgeID = 0
+	crashed          knowledgeID = 1
+	firstKnowledgeID knowledgeID = 2
 )
 
-func (id knowledgeID) runs() bool { return id >= firstFree }
+func (id knowledgeID) isRunning() bool { return id >= firstKnowledgeID }
 
-// stepKind is what a process does, or receives.
+// stepKind is the kind of a step of one process.
 type stepKind uint8
 
 const (
-	receiveEntries    stepKind = iota + 1 // all entries of another process
-	receiveOneEntry                       // one entry of another process
-	receiveDigest                         // another process's digest
-	proveGone                             // the process proves that another one is gone
-	admissionTimesOut                     // the process has waited long enough
+	receiveEntries    stepKind = iota + 1 // the process receives all entries of another process
+	receiveOneEntry                       // the process receives the entry of one process
+	receiveDigest                         // the process receives the digest of another process
+	proveGone                             // the process obtains a proof that another one is gone
+	admissionTimesOut                     // the process is admitted by timeout
 )
 
-// lateMessage is a message that stays in flight. The zero value is none.
-type lateMessage struct {
+// delayedMessage is a message that stays in flight. The zero value means no message.
+type delayedMessage struct {
 	kind   stepKind
-	sender knowledgeID // as it was when it sent this
-	to     uint8       // slot
+	sender knowledgeID // the knowledge of the sender when it sent the message
+	to     uint8       // slot of the receiver
 }
 
-// knowledge is the roster in a slot and what follows from it.
+// knowledge is a roster of one slot, with values derived from it.
 type knowledge struct {
 	roster        *roster.Roster
 	entries       []roster.Entry
 	view          roster.View
-	present, gone uint8 // bit sets of the slots whose processes are present or proved gone, by the entries
-	names         uint8 // bit set of the slots of whose names it knows a present process
-	proofUndone   bool
+	present, gone uint8 // bit sets of the slots whose processes are present or proved gone in the entries
+	names         uint8 // bit set of the slots whose name has a present process in the entries
+	proofUndone   bool  // a process was proved gone before, and the entries list it as present
 }
 
-// eventLabel names an event and the slots that took part. It is formatted only for the trace of a violation.
+// eventLabel is the format and the arguments of an event's description. It is formatted only in the trace of a
+// violation.
 type eventLabel struct {
 	format string
 	args   [3]uint8
@@ -79,25 +81,25 @@
 	return fmt.Sprintf(l.format, args...)
 }
 
-// step is one step of a process that knows what from says. The meaning of arg depends on the kind: a knowledgeID for
-// receiveEntries and receiveDigest, a slot for receiveOneEntry and proveGone.
+// step is one step of a process. Its arg is a knowledgeID (of the sender) for receiveEntries and receiveDigest, a slot
+// for receiveOneEntry and proveGone, and 0 for admissionTimesOut.
 type step struct {
-	from knowledgeID
-	kind stepKind
-	arg  int32
+	before knowledgeID // knowledge of the process before the step
+	kind   stepKind
+	arg    int32
 }
 
-// search walks through a scenario. The result of each step is computed once.
+// search enumerates the states of a scenario. It computes the result of each step once.
 type search struct {
 	Scenario
-	knowledge []knowledge // by knowledgeID
-	ids       map[string]knowledgeID
+	knowledge []knowledge            // indexed by knowledgeID
+	ids       map[string]knowledgeID // by slot, proofUndone and key of the roster
 	results   map[step]knowledgeID
-	emit      func(event eventLabel, s state)
+	emit      func(event eventLabel, s state) // receives each successor of a state, and the event that leads to it
 }
 
 func newSearch(scenario Scenario) *search {
-	return &search{Scenario: scenario, knowledge: make([]knowledge, firstFree), ids: map[string]knowledgeID{},
+	return &search{Scenario: scenario, knowledge: make([]knowledge, firstKnowledgeID), ids: map[string]knowledgeID{},
 		results: map[step]knowledgeID{}}
 }
 
@@ -106,27 +108,27 @@
 		MaxProofsPerName: x.MaxProofsPerName})
 }
 
-// first returns the state at the beginning.
-func (x *search) first() state {
-	s := state{cuts: uint8(x.Cuts), crashes: uint8(x.Crashes), forced: uint8(x.Forced)}
+// initialState returns the initial state of the scenario.
+func (x *search) initialState() state {
+	s := state{partitionsLeft: uint8(x.Partitions), crashesLeft: uint8(x.Crashes), forcedLeft: uint8(x.ForcedAdmissions)}
 	var started []*roster.Roster
 	for i, slot := range x.Slots {
-		if !slot.Late {
+		if !slot.JoinsLater {
 			started = append(started, x.newRoster(i))
 		}
 	}
-	if !x.Strangers {
+	if !x.ColdStart {
 		acknowledgeAll(started)
 	}
 	for i, slot := range x.Slots {
-		if !slot.Late {
+		if !slot.JoinsLater {
 			s.slots[i], started = x.intern(i, started[0], knowledge{}), started[1:]
 		}
 	}
 	return s
 }
 
-// acknowledgeAll has all rosters exchange their entries and acknowledge each other.
+// acknowledgeAll merges the entries of all rosters into each, and has all rosters acknowledge each other.
 func acknowledgeAll(rosters []*roster.Roster) {
 	for _, r := range rosters {
 		for _, q := range rosters {
@@ -136,12 +138,12 @@
 	for _, r := range rosters {
 		r.View(admitWithin)
 		for _, q := range rosters {
-			r.Acknowledged(q.Self(), q.Digest())
+			r.HandleDigest(q.Self(), q.Digest())
 		}
 	}
 }
 
-// intern returns the number of the knowledge in a slot, which was derived from the previous one.
+// intern returns the ID of the knowledge with roster r in a slot. previous is the knowledge before the step.
 func (x *search) intern(slot int, r *roster.Roster, previous knowledge) knowledgeID {
 	k := knowledge{roster: r, entries: r.Entries(), view: r.Clone().View(0)}
 	for _, e := range k.entries {
@@ -170,12 +172,12 @@
 	return 0
 }
 
-// apply returns what the process in a slot knows after a step.
+// apply returns the knowledge of the process in a slot after a step.
 func (x *search) apply(slot int, s step) knowledgeID {
 	if id, known := x.results[s]; known {
 		return id
 	}
-	k := x.knowledge[s.from]
+	k := x.knowledge[s.before]
 	r := k.roster.Clone()
 	switch s.kind {
 	case receiveEntries:
@@ -184,7 +186,7 @@
 		r = x.merge(r, roster.Entry{Name: x.Slots[s.arg].ID.Name, Start: x.Slots[s.arg].ID.Start})
 	case receiveDigest:
 		sender := x.knowledge[s.arg].roster
-		r.Acknowledged(sender.Self(), sender.Digest())
+		r.HandleDigest(sender.Self(), sender.Digest())
 	case proveGone:
 		r.Merge(0, goneEntry(x.Slots[s.arg].ID, roster.ProofRefused))
 	case admissionTimesOut:
@@ -196,10 +198,11 @@
 }
 
 func goneEntry(id roster.ID, proof roster.Proof) roster.Entry {
-	return roster.Entry{Name: id.Name, Start: id.Start, Gone: id.Start, Proof: proof}
+	return roster.Entry{Name: id.Name, Start: id.Start, GoneStart: id.Start, Proof: proof}
 }
 
-// merge merges entries, with the planted defect if it is ProofUndone.
+// merge merges entries into r and returns the result. If the planted defect is ProofUndone, it deletes contradicted
+// proofs.
 func (x *search) merge(r *roster.Roster, entries ...roster.Entry) *roster.Roster {
 	if x.Defect == ProofUndone {
 		r = withoutProofs(r, 0, entries, roster.Options{Self: r.Self(), Peers: x.Peers, AdmitWithin: admitWithin})
@@ -208,7 +211,7 @@
 	return r
 }
 
-// withoutProofs returns the roster without the proofs against the processes that the entries report as present.
+// withoutProofs returns the roster without the proofs of processes that the entries report as present.
 func withoutProofs(r *roster.Roster, now time.Duration, entries []roster.Entry, o roster.Options) *roster.Roster {
 	contradicted := func(e roster.Entry) bool {
 		return !e.Present() && slices.ContainsFunc(entries, func(reported roster.Entry) bool {
@@ -219,13 +222,14 @@
 	if !slices.ContainsFunc(all, contradicted) {
 		return r
 	}
-	c := roster.New(now, o)
-	c.Merge(now, slices.DeleteFunc(all, contradicted)...)
-	return c
+	kept := roster.New(now, o)
+	kept.Merge(now, slices.DeleteFunc(all, contradicted)...)
+	return kept
 }
 
-// check checks the invariant: the quotas of the running processes add up to at most the bound.
-func (x *search) check(s state) error {
+// checkInvariant checks that the quotas of the running processes add up to at most the bound, and that no proof was
+// undone.
+func (x *search) checkInvariant(s state) error {
 	sum, admitted := 0.0, 0
 	var forced []roster.View
 	for i := range x.Slots {
@@ -233,7 +237,7 @@
 		if k.proofUndone {
 			return fmt.Errorf("%s: %w", x.Slots[i].ID.Name, ErrProofUndone)
 		}
-		if !s.slots[i].runs() || !k.view.Admitted && x.Defect != NoAdmission {
+		if !s.slots[i].isRunning() || !k.view.Admitted && x.Defect != NoAdmission {
 			continue
 		}
 		if k.view.Forced {
@@ -251,45 +255,46 @@
 		bound = x.Bound(forced, admitted)
 	}
 	if sum > bound+sumTolerance {
-		return fmt.Errorf("%w: %.4f, not %.4f", ErrQuotaExceeded, sum, bound)
+		return fmt.Errorf("%w: sum %.4f, bound %.4f", ErrQuotaExceeded, sum, bound)
 	}
 	return nil
 }
 
-// next emits each state that may follow a state.
-func (x *search) next(s state) {
+// emitSuccessors emits each state that may follow s.
+func (x *search) emitSuccessors(s state) {
 	for i := range x.Slots {
 		switch s.slots[i] {
 		case notStarted:
-			x.start(s, i)
+			x.emitStart(s, i)
 		case crashed:
 		default:
-			x.act(s, i)
+			x.emitLocalSteps(s, i)
 			for j := range x.Slots {
-				if x.reaches(s, i, j) {
-					x.send(s, i, j)
+				if x.canSend(s, i, j) {
+					x.emitMessages(s, i, j)
 				}
 			}
 		}
 	}
-	x.deliver(s)
-	if s.side != 0 {
+	x.emitDelayedMessages(s)
+	if s.partitionSide != 0 {
 		c := s
-		c.side = 0
-		x.emit(event("heal"), c)
-	} else if s.cuts > 0 {
-		for side := uint8(1); side < 1<<(len(x.Slots)-1); side++ { // the last slot is always on the other side
+		c.partitionSide = 0
+		x.emit(event("partition heals"), c)
+	} else if s.partitionsLeft > 0 {
+		// The sides are interchangeable, so the last slot is always on the other side.
+		for side := uint8(1); side < 1<<(len(x.Slots)-1); side++ {
 			c := s
-			c.side, c.cuts = side, s.cuts-1
-			x.emit(event("cut %05b", int(side)), c)
+			c.partitionSide, c.partitionsLeft = side, s.partitionsLeft-1
+			x.emit(event("partition with side %05b", int(side)), c)
 		}
 	}
 }
 
-// start emits the state in which the process of a slot has started, if it may.
-func (x *search) start(s state, i int) {
+// emitStart emits the state in which the process of slot i has started, unless AfterCrash prevents its start.
+func (x *search) emitStart(s state, i int) {
 	for j, other := range x.Slots {
-		if x.Slots[i].After && other.ID.Name == x.Slots[i].ID.Name && j != i && s.slots[j] != crashed {
+		if x.Slots[i].AfterCrash && other.ID.Name == x.Slots[i].ID.Name && j != i && s.slots[j] != crashed {
 			return
 		}
 	}
@@ -297,73 +302,74 @@
 	x.emit(event("%d starts", i), s)
 }
 
-// act emits what a process does without a message: it crashes, is admitted by timeout, or proves that another one is
-// gone, as soon as that is true.
-func (x *search) act(s state, i int) {
-	if s.crashes > 0 {
+// emitLocalSteps emits the states after each step of a process without a message: it crashes, is admitted by timeout,
+// or proves that another process has crashed. With TrustDetector it may prove any process gone.
+func (x *search) emitLocalSteps(s state, i int) {
+	if s.crashesLeft > 0 {
 		c := s
-		c.slots[i], c.crashes = crashed, s.crashes-1
+		c.slots[i], c.crashesLeft = crashed, s.crashesLeft-1
 		x.emit(event("%d crashes", i), c)
 	}
 	k := x.knowledge[s.slots[i]]
-	if s.forced > 0 && !k.view.Admitted {
+	if s.forcedLeft > 0 && !k.view.Admitted {
 		c := s
-		c.slots[i], c.forced = x.apply(i, step{s.slots[i], admissionTimesOut, 0}), s.forced-1
+		c.slots[i], c.forcedLeft = x.apply(i, step{s.slots[i], admissionTimesOut, 0}), s.forcedLeft-1
 		x.emit(event("%d is admitted by timeout", i), c)
 	}
 	for j := range x.Slots {
 		if k.present&(1<<j) != 0 && j != i && (s.slots[j] == crashed || x.Defect == TrustDetector) {
-			x.move(s, i, step{s.slots[i], proveGone, int32(j)}, event("%d proves %d gone", i, j))
+			x.emitStep(s, i, step{s.slots[i], proveGone, int32(j)}, event("%d proves %d gone", i, j))
 		}
 	}
 }
 
-// move emits the state after a step of one slot, unless the step changes nothing.
-func (x *search) move(s state, i int, p step, what eventLabel) {
+// emitStep emits the state after a step of slot i, unless the step changes nothing.
+func (x *search) emitStep(s state, i int, p step, what eventLabel) {
 	if id := x.apply(i, p); id != s.slots[i] {
 		s.slots[i] = id
 		x.emit(what, s)
 	}
 }
 
-// reaches reports whether a message from one slot may come to another: one of them knows the other, or has it as a seed.
-func (x *search) reaches(s state, i, j int) bool {
-	cutOff := s.side != 0 && (s.side>>i^s.side>>j)&1 != 0
-	if i == j || !s.slots[i].runs() || !s.slots[j].runs() || cutOff {
+// canSend reports whether a message from slot i can reach slot j. One of them must know a present process of the
+// other's name or have the other as a seed.
+func (x *search) canSend(s state, i, j int) bool {
+	cutOff := s.partitionSide != 0 && (s.partitionSide>>i^s.partitionSide>>j)&1 != 0
+	if i == j || !s.slots[i].isRunning() || !s.slots[j].isRunning() || cutOff {
 		return false
 	}
 	return x.knowledge[s.slots[i]].names&(1<<j) != 0 || x.knowledge[s.slots[j]].names&(1<<i) != 0 ||
 		x.Slots[i].Seeds&(1<<j) != 0 || x.Slots[j].Seeds&(1<<i) != 0
 }
 
-// send emits what one process may send to another: messages that arrive at once, and messages that stay in flight.
-func (x *search) send(s state, i, j int) {
+// emitMessages emits the states after a message from slot i to slot j, which arrives at once or stays in flight.
+func (x *search) emitMessages(s state, i, j int) {
 	sender := s.slots[i]
-	x.move(s, j, step{s.slots[j], receiveEntries, int32(sender)}, event("%d sends its entries to %d", i, j))
-	x.move(s, j, step{s.slots[j], receiveDigest, int32(sender)}, event("%d acknowledges %d", i, j))
+	x.emitStep(s, j, step{s.slots[j], receiveEntries, int32(sender)}, event("%d sends its entries to %d", i, j))
+	x.emitStep(s, j, step{s.slots[j], receiveDigest, int32(sender)}, event("%d acknowledges %d", i, j))
 	for all := x.knowledge[sender].present; all != 0; all &= all - 1 {
 		m := bits.TrailingZeros8(all)
-		x.move(s, j, step{s.slots[j], receiveOneEntry, int32(m)}, event("%d sends entry %d to %d", i, m, j))
+		x.emitStep(s, j, step{s.slots[j], receiveOneEntry, int32(m)}, event("%d sends entry %d to %d", i, m, j))
 	}
-	for n := range x.Late {
-		if s.late[n].kind == 0 {
+	for n := range x.DelayedMessages {
+		if s.delayed[n].kind == 0 {
 			for _, kind := range []stepKind{receiveEntries, receiveDigest} {
 				c := s
-				c.late[n] = lateMessage{kind, sender, uint8(j)}
-				x.emit(event("%d sends %d a message (%d) that is late", i, j, int(kind)), c)
+				c.delayed[n] = delayedMessage{kind, sender, uint8(j)}
+				x.emit(event("%d sends %d a delayed message of kind %d", i, j, int(kind)), c)
 			}
 			break
 		}
 	}
 }
 
-// deliver emits the arrival of late messages. They stay in flight, as they may be duplicated, and may also come to
-// another process of the receiver's name.
-func (x *search) deliver(s state) {
-	for _, m := range s.late {
+// emitDelayedMessages emits the states after the arrival of a delayed message. Such a message stays in flight, as it
+// may be duplicated, and may also arrive at another process of the receiver's name.
+func (x *search) emitDelayedMessages(s state) {
+	for _, m := range s.delayed {
 		for i := range x.Slots {
-			if m.kind != 0 && s.slots[i].runs() && x.Slots[i].ID.Name == x.Slots[m.to].ID.Name {
-				x.move(s, i, step{s.slots[i], m.kind, int32(m.sender)}, event("late message at %d", i))
+			if m.kind != 0 && s.slots[i].isRunning() && x.Slots[i].ID.Name == x.Slots[m.to].ID.Name {
+				x.emitStep(s, i, step{s.slots[i], m.kind, int32(m.sender)}, event("delayed message arrives at %d", i))
 			}
 		}
 	}
