--- a/cmd/marblelane/registry_test.go
+++ b/cmd/marblelane/registry_test.go
@@ -115,7 +115,7 @@
 	}
 	fail := func() {
 		t.Helper()
-		require.NoError(t, fault.Set{Calls: map[string]string{fault.CallWrite: "ENOSPC"}}.Write(faults))
+		require.NoError(t, fault.Config{Calls: map[string]string{fault.CallWrite: "ENOSPC"}}.Write(faults))
 		code, said := do("put", "lost", "127.0.0.1:82")
 		assert.Equal(t, 2, code, said)
 		require.Eventually(t, func() bool {
@@ -126,7 +126,7 @@
 	serves()
 	fail()
 	sendSignal(t, cmd, syscall.SIGHUP)
-	require.NoError(t, fault.Set{}.Write(faults))
+	require.NoError(t, fault.Config{}.Write(faults))
 	serves()
 	_, list := do("list")
 	assert.Contains(t, list, `"uid":"s-1"`)
@@ -259,7 +259,7 @@
 			start := listed(state.Ready, 0)
 			require.NoError(t, former.Process.Signal(syscall.SIGTERM))
 			listed(state.Terminating, 0)
-			require.NoError(t, fault.NewSet(step, 0, "").Write(faults))
+			require.NoError(t, fault.NewConfig(step, 0, "").Write(faults))
 			register("--faults", faults)
 			listed(state.Ready, start)
 		})
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -228,7 +228,7 @@
 			cmd := newCommand(t, config(before))
 			log := cmd.startLogged(t)
 			waitForCall(t, calls, "before", logLimit)
-			text, planted := config(after), fault.Set{}
+			text, planted := config(after), fault.Config{}
 			if failure.errno == "" {
 				text = text[:len(text)/2]
 			} else {
@@ -239,7 +239,7 @@
 			}
 			cmd.signal(t, syscall.SIGHUP)
 			waitFor(t, log, "reload", cmd.config, failure.logs)
-			if err := errors.Join(fault.Set{}.Write(faults), os.WriteFile(cmd.config, []byte(config(after)), 0o600)); err != nil {
+			if err := errors.Join(fault.Config{}.Write(faults), os.WriteFile(cmd.config, []byte(config(after)), 0o600)); err != nil {
 				t.Fatal(err)
 			}
 			waitForCall(t, calls, "after", logLimit)
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -31,8 +31,8 @@
 	SyncSilentLoss     SyncFault = "unheard" // as SyncErrorLost, but the process is to go on as if it had succeeded
 )
 
-// known reports whether a file of faults may have this value.
-func (f SyncFault) known() bool {
+// valid reports whether a file of faults may have this value.
+func (f SyncFault) valid() bool {
 	switch f {
 	case "", SyncErrorPersisted, SyncErrorLost, SyncSilentLoss:
 		return true
@@ -50,22 +50,22 @@
 	CallWrite  = "write" // by Plan.DiskWrite: the write fails, and nothing of it is on the disk
 )
 
-// Set is the content of a file of faults. Durations have a unit.
-type Set struct {
-	Clock tomlfile.Duration `toml:"clock"` // added to the wall clock; may be negative
-	Disk  tomlfile.Duration `toml:"disk"`  // delays each write
-	Sync  SyncFault         `toml:"sync"`
+// Config is the content of a file of faults. Durations have a unit.
+type Config struct {
+	ClockStep tomlfile.Duration `toml:"clock"` // added to the wall clock; may be negative
+	DiskDelay tomlfile.Duration `toml:"disk"`  // delays each write
+	SyncFault SyncFault         `toml:"sync"`
 	// Calls are the system calls that fail, each with the name of its errno: accept = "ENOBUFS".
 	Calls map[string]string `toml:"calls"`
 }
 
-// NewSet returns a set with faults of the clock and the disk.
-func NewSet(clock, disk time.Duration, sync SyncFault) Set {
-	return Set{Clock: tomlfile.Duration(clock), Disk: tomlfile.Duration(disk), Sync: sync}
+// NewConfig returns a set with faults of the clock and the disk.
+func NewConfig(clock, disk time.Duration, sync SyncFault) Config {
+	return Config{ClockStep: tomlfile.Duration(clock), DiskDelay: tomlfile.Duration(disk), SyncFault: sync}
 }
 
 // Write replaces the file of faults at a path atomically.
-func (s Set) Write(path string) error {
+func (s Config) Write(path string) error {
 	text, err := toml.Marshal(s)
 	if err != nil {
 		return fmt.Errorf("faults: %w", err)
@@ -80,93 +80,95 @@
 	return nil
 }
 
-// readSet reads and checks a file of faults.
-func readSet(path string) (Set, error) {
+// readConfig reads and checks a file of faults.
+func readConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Set{}, fmt.Errorf("faults: %w", err)
+		return Config{}, fmt.Errorf("faults: %w", err)
 	}
-	var set Set
-	if _, err := tomlfile.Decode(path, text, &set); err != nil {
-		return Set{}, fmt.Errorf("faults %w", err)
+	var config Config
+	if _, err := tomlfile.Decode(path, text, &config); err != nil {
+		return Config{}, fmt.Errorf("faults %w", err)
 	}
-	if !set.Sync.known() {
-		return Set{}, fmt.Errorf("faults %s: sync: %q is none of %s, %s, %s", path, set.Sync,
+	if !config.SyncFault.valid() {
+		return Config{}, fmt.Errorf("faults %s: sync: %q is none of %s, %s, %s", path, config.SyncFault,
 			SyncErrorPersisted, SyncErrorLost, SyncSilentLoss)
 	}
-	for call, name := range set.Calls {
+	for call, name := range config.Calls {
 		if _, ok := Errno(name); !ok {
-			return Set{}, fmt.Errorf("faults %s: calls.%s: %q is no errno", path, call, name)
+			return Config{}, fmt.Errorf("faults %s: calls.%s: %q is no errno", path, call, name)
 		}
 	}
-	return set, nil
+	return config, nil
 }
 
-// Plan is a file of faults as the process that it is for reads it. A nil Plan injects nothing. It is safe for concurrent
+// Injector is a file of faults as the process that it is for reads it. A nil Injector injects nothing. It is safe for concurrent
 // use.
-type Plan struct {
+type Injector struct {
 	path string
 
 	mu       sync.Mutex  // guards the fields below
 	readInfo os.FileInfo // of the file that set was read from; nil: there was none
-	set      Set
+	config   Config
 }
 
 // Open reads a file of faults; without a path there is no plan. A file that does not exist yet injects nothing.
-func Open(path string) (*Plan, error) {
+func Open(path string) (*Injector, error) {
 	if path == "" {
 		return nil, nil
 	}
-	p := &Plan{path: path}
-	if _, err := p.reload(); err != nil {
+	in := &Injector{path: path}
+	if _, err := in.reload(); err != nil {
 		return nil, err
 	}
-	return p, nil
+	return in, nil
 }
 
 // reload reads the file again if it has been replaced. With an error it returns the set that was read before.
-func (p *Plan) reload() (Set, error) {
-	if p == nil {
-		return Set{}, nil
+func (in *Injector) reload() (Config, error) {
+	if in == nil {
+		return Config{}, nil
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	info, err := os.Stat(p.path)
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	info, err := os.Stat(in.path)
 	if errors.Is(err, os.ErrNotExist) {
-		p.readInfo, p.set = nil, Set{}
-		return p.set, nil
+		in.readInfo, in.config = nil, Config{}
+		return in.config, nil
 	}
 	if err != nil {
-		return p.set, fmt.Errorf("faults: %w", err)
+		return in.config, fmt.Errorf("faults: %w", err)
 	}
-	if p.readInfo != nil && os.SameFile(info, p.readInfo) && info.ModTime().Equal(p.readInfo.ModTime()) {
-		return p.set, nil
+	if in.readInfo != nil && os.SameFile(info, in.readInfo) && info.ModTime().Equal(in.readInfo.ModTime()) {
+		return in.config, nil
 	}
-	set, err := readSet(p.path)
+	config, err := readConfig(in.path)
 	if err != nil {
-		return p.set, err
+		return in.config, err
 	}
-	p.readInfo, p.set = info, set
-	return p.set, nil
+	in.readInfo, in.config = info, config
+	return in.config, nil
 }
 
-// current returns the faults of this moment. If the file cannot be read, the previous ones apply.
-func (p *Plan) current() Set {
-	set, _ := p.reload()
+// currentConfig returns the faults of this moment. If the file cannot be read, the previous ones apply.
+func (in *Injector) currentConfig() Config {
+	set, _ := in.reload()
 	return set
 }
 
 // Now returns the wall clock, stepped by the plan. It has no monotonic part: elapsed times are measured by package time.
-func (p *Plan) Now() time.Time { return time.Now().Round(0).Add(time.Duration(p.current().Clock)) }
+func (in *Injector) Now() time.Time {
+	return time.Now().Round(0).Add(time.Duration(in.currentConfig().ClockStep))
+}
 
 // DiskWrite carries out a write under the faults of the disk. write is called with the error with which it has to undo
 // its changes, or with nil. If silent is true, the caller is to ignore the error.
-func (p *Plan) DiskWrite(write func(undo error) error) (silent bool, err error) {
-	set := p.current()
-	if set.Disk > 0 {
-		time.Sleep(time.Duration(set.Disk))
+func (in *Injector) DiskWrite(write func(undo error) error) (silent bool, err error) {
+	config := in.currentConfig()
+	if config.DiskDelay > 0 {
+		time.Sleep(time.Duration(config.DiskDelay))
 	}
-	switch set.Sync {
+	switch config.SyncFault {
 	case SyncErrorPersisted:
 		return false, errors.Join(write(nil), ErrSync)
 	case SyncErrorLost:
@@ -174,17 +176,17 @@
 	case SyncSilentLoss:
 		return true, write(ErrSync)
 	}
-	if err := p.Call(CallWrite); err != nil {
+	if err := in.CallError(CallWrite); err != nil {
 		return false, write(err)
 	}
 	return false, write(nil)
 }
 
-// Call returns the planned error of a system call, which is not to be made then, or nil if it is to be made. The error is
+// CallError returns the planned error of a system call, which is not to be made then, or nil if it is to be made. The error is
 // an *os.SyscallError, as from packages net and os.
-func (p *Plan) Call(name string) error {
-	errnoName, planned := p.current().Calls[name]
-	if !planned {
+func (in *Injector) CallError(name string) error {
+	errnoName, configured := in.currentConfig().Calls[name]
+	if !configured {
 		return nil
 	}
 	errno, _ := Errno(errnoName) // readSet has checked the name
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -14,7 +14,7 @@
 const clockTolerance = time.Second
 
 // openPlan opens the plan of a file that does not exist yet.
-func openPlan(t *testing.T) (plan *Plan, path string) {
+func openPlan(t *testing.T) (plan *Injector, path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "faults.toml")
 	plan, err := Open(path)
@@ -24,7 +24,7 @@
 	return plan, path
 }
 
-func checkClock(t *testing.T, plan *Plan, step time.Duration) {
+func checkClock(t *testing.T, plan *Injector, step time.Duration) {
 	t.Helper()
 	if off := time.Until(plan.Now()) - step; off > clockTolerance || off < -clockTolerance {
 		t.Errorf("the clock is off by %v, want %v", off+step, step)
@@ -33,7 +33,7 @@
 
 func TestPlan_empty(t *testing.T) {
 	withoutFile, _ := openPlan(t)
-	for name, plan := range map[string]*Plan{"nil": nil, "no file": withoutFile} {
+	for name, plan := range map[string]*Injector{"nil": nil, "no file": withoutFile} {
 		t.Run(name, func(t *testing.T) {
 			undo := errors.New("not called")
 			silent, err := plan.DiskWrite(func(e error) error { undo = e; return nil })
@@ -49,18 +49,18 @@
 	plan, path := openPlan(t)
 	for _, test := range []struct {
 		name                 string
-		set                  Set
+		set                  Config
 		undone, silent, fail bool
 		step                 time.Duration // of the clock
 	}{
-		{name: "write on the disk", set: NewSet(-time.Hour, 0, SyncErrorPersisted), fail: true, step: -time.Hour},
+		{name: "write on the disk", set: NewConfig(-time.Hour, 0, SyncErrorPersisted), fail: true, step: -time.Hour},
 		{
-			name: "write lost", set: NewSet(time.Hour, time.Millisecond, SyncErrorLost),
+			name: "write lost", set: NewConfig(time.Hour, time.Millisecond, SyncErrorLost),
 			undone: true, fail: true, step: time.Hour,
 		},
-		{name: "silent loss", set: NewSet(0, 0, SyncSilentLoss), undone: true, silent: true, fail: true},
-		{name: "no space", set: Set{Calls: map[string]string{CallWrite: "ENOSPC"}}, undone: true, fail: true},
-		{name: "no fault", set: Set{}},
+		{name: "silent loss", set: NewConfig(0, 0, SyncSilentLoss), undone: true, silent: true, fail: true},
+		{name: "no space", set: Config{Calls: map[string]string{CallWrite: "ENOSPC"}}, undone: true, fail: true},
+		{name: "no fault", set: Config{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if err := test.set.Write(path); err != nil {
@@ -73,7 +73,7 @@
 			if (undo != nil) != test.undone || silent != test.silent || (err != nil) != test.fail {
 				t.Errorf("undo %v, silent %v, error %v", undo, silent, err)
 			}
-			if delay := time.Duration(test.set.Disk); elapsed < delay {
+			if delay := time.Duration(test.set.DiskDelay); elapsed < delay {
 				t.Errorf("the write took %v, want %v at least", elapsed, delay)
 			}
 			checkClock(t, plan, test.step)
@@ -102,17 +102,17 @@
 
 func TestPlan_call(t *testing.T) {
 	plan, path := openPlan(t)
-	if err := plan.Call(CallAccept); err != nil {
+	if err := plan.CallError(CallAccept); err != nil {
 		t.Errorf("nothing is planned: %v", err)
 	}
-	if err := (Set{Calls: map[string]string{CallAccept: "ENOBUFS"}}).Write(path); err != nil {
+	if err := (Config{Calls: map[string]string{CallAccept: "ENOBUFS"}}).Write(path); err != nil {
 		t.Fatal(err)
 	}
 	var callErr *os.SyscallError
-	if err := plan.Call(CallAccept); !errors.Is(err, syscall.ENOBUFS) || !errors.As(err, &callErr) {
+	if err := plan.CallError(CallAccept); !errors.Is(err, syscall.ENOBUFS) || !errors.As(err, &callErr) {
 		t.Errorf("accept: %v", err)
 	}
-	if err := plan.Call(CallOpen); err != nil {
+	if err := plan.CallError(CallOpen); err != nil {
 		t.Errorf("open: %v", err)
 	}
 }
--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -158,11 +158,11 @@
 }
 
 func (c *Cluster) slowDisks(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
-	return c.writeFaults(chosen, fault.NewSet(0, sizeInSeconds(f), ""))
+	return c.writeFaults(chosen, fault.NewConfig(0, sizeInSeconds(f), ""))
 }
 
 func (c *Cluster) stepClocks(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
-	return c.writeFaults(chosen, fault.NewSet(sizeInSeconds(f), 0, ""))
+	return c.writeFaults(chosen, fault.NewConfig(sizeInSeconds(f), 0, ""))
 }
 
 func sizeInSeconds(f *scenario.FaultPlan) time.Duration {
@@ -174,7 +174,7 @@
 	return func(c *Cluster, ctx context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
 		var heal func() error
 		failed, err := c.failDisks(chosen, func() (err error) {
-			heal, err = c.writeFaults(chosen, fault.NewSet(0, 0, kind))
+			heal, err = c.writeFaults(chosen, fault.NewConfig(0, 0, kind))
 			return err
 		})
 		return func() error { return c.healDisks(ctx, failed, heal) }, err
@@ -203,8 +203,8 @@
 }
 
 // writeFaults injects faults into the processes of replicas.
-func (c *Cluster) writeFaults(chosen []*Replica, set fault.Set) (undo func() error, err error) {
-	all := func(set fault.Set) error {
+func (c *Cluster) writeFaults(chosen []*Replica, set fault.Config) (undo func() error, err error) {
+	all := func(set fault.Config) error {
 		for _, replica := range chosen {
 			if err := set.Write(replica.faultsFile()); err != nil {
 				return err
@@ -212,7 +212,7 @@
 		}
 		return nil
 	}
-	return func() error { return all(fault.Set{}) }, all(set)
+	return func() error { return all(fault.Config{}) }, all(set)
 }
 
 // freeDisks empties the disks of replicas.
--- a/internal/lab/sidecar_fault_steps.go
+++ b/internal/lab/sidecar_fault_steps.go
@@ -110,20 +110,20 @@
 }
 
 // changeFaults sets and takes back a fault inside the processes of sidecars.
-func (f injection) changeFaults(change func(set *fault.Set, on bool)) []step {
+func (f injection) changeFaults(change func(set *fault.Config, on bool)) []step {
 	return f.toggle(func(on bool) error {
 		return f.eachSidecar(func(s *sidecar) error {
-			return s.changeFaults(func(set *fault.Set) { change(set, on) })
+			return s.changeFaults(func(set *fault.Config) { change(set, on) })
 		})
 	})
 }
 
 func stepClocks(f injection) []step {
-	return f.changeFaults(func(set *fault.Set, on bool) { set.Clock = tomlfile.Duration(f.duration(on)) })
+	return f.changeFaults(func(set *fault.Config, on bool) { set.ClockStep = tomlfile.Duration(f.duration(on)) })
 }
 
 func failCalls(f injection) []step {
-	return f.changeFaults(func(set *fault.Set, on bool) {
+	return f.changeFaults(func(set *fault.Config, on bool) {
 		delete(set.Calls, f.Fault.Call)
 		if !on {
 			return
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -43,7 +43,7 @@
 	starts   int
 
 	closedToNew atomic.Bool            // clients open no new connections
-	faults      fault.Set              // in its file of faults; under mu
+	faults      fault.Config           // in its file of faults; under mu
 	startStall  atomic.Int64           // planted defect: how long a process does nothing at its start, in ns
 	stopDefect  atomic.Pointer[string] // planted defect at SIGTERM; empty or nil: none
 }
@@ -245,7 +245,7 @@
 func (s *sidecar) faultsFile() string { return filepath.Join(s.dir, "faults.toml") }
 
 // changeFaults changes the faults inside the process.
-func (s *sidecar) changeFaults(change func(*fault.Set)) error {
+func (s *sidecar) changeFaults(change func(*fault.Config)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.faults)
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := Wrap(&failsFirst{Listener: inner, errnos: transientErrnos[:10]}, "clients", slog.New(slog.DiscardHandler))
+	l := Wrap(&failFirstListener{Listener: inner, errnos: transientErrnos[:10]}, "clients", slog.New(slog.DiscardHandler))
 	srv := &http.Server{Handler: http.NotFoundHandler()}
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(l) }()
@@ -104,13 +104,13 @@
 	}
 }
 
-// failsFirst fails with each of its errnos before it accepts.
-type failsFirst struct {
+// failFirstListener fails with each of its errnos before it accepts.
+type failFirstListener struct {
 	net.Listener
 	errnos []syscall.Errno // of the next accepts
 }
 
-func (f *failsFirst) Accept() (net.Conn, error) {
+func (f *failFirstListener) Accept() (net.Conn, error) {
 	if len(f.errnos) == 0 {
 		return f.Listener.Accept()
 	}
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -70,7 +70,7 @@
 func LoadConfig(path string) (Config, error) { return loadConfig(path, os.ReadFile) }
 
 func loadConfig(path string, readFile func(path string) ([]byte, error)) (Config, error) {
-	start := retry.NewStart(context.Background(), nil)
+	start := retry.NewStartRetrier(context.Background(), nil)
 	var text []byte
 	if err := start.Do("read "+path, func() (failed error) {
 		text, failed = readFile(path)
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -78,7 +78,7 @@
 	})
 	old := leader(t, all)
 	put(t, old, "s1", 1, 0)
-	if err := fault.NewSet(0, 150*time.Millisecond, "").Write(files[old.cfg.Name]); err != nil {
+	if err := fault.NewConfig(0, 150*time.Millisecond, "").Write(files[old.cfg.Name]); err != nil {
 		t.Fatal(err)
 	}
 	for i := int64(0); i < slowWritesToYield; i++ {
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -47,9 +47,9 @@
 	// SlowWriteThreshold is the duration from which a disk write counts as slow. A leader whose recent writes were all
 	// slow transfers its leadership. 0: five heartbeat intervals.
 	SlowWriteThreshold time.Duration
-	Faults             *fault.Plan        // faults injected by the lab; nil: none
-	Members            *membership.Config // membership group; nil: off
-	start              *retry.Start       // start-up retries begun by LoadConfig; nil: Open begins its own
+	Faults             *fault.Injector     // faults injected by the lab; nil: none
+	Members            *membership.Config  // membership group; nil: off
+	start              *retry.StartRetrier // start-up retries begun by LoadConfig; nil: Open begins its own
 
 	listserver.Options
 
@@ -108,7 +108,7 @@
 	}(n)
 	start := cfg.start
 	if start == nil {
-		start = retry.NewStart(context.Background(), cfg.Log)
+		start = retry.NewStartRetrier(context.Background(), cfg.Log)
 	}
 	var l net.Listener
 	if err := start.Do("listen", func() (failed error) {
@@ -134,7 +134,7 @@
 }
 
 // openRaft opens the storage and the transport, bootstraps the cluster if needed, and starts raft.
-func (n *Node) openRaft(start *retry.Start) error {
+func (n *Node) openRaft(start *retry.StartRetrier) error {
 	c := n.raftConfig()
 	st, err := n.openStorage(c.Logger)
 	if err != nil {
@@ -216,7 +216,7 @@
 }
 
 // openTransport listens for raft and creates the transport. An address in use is retried until start gives up.
-func (n *Node) openTransport(start *retry.Start, logger hclog.Logger) (*transport.Transport, error) {
+func (n *Node) openTransport(start *retry.StartRetrier, logger hclog.Logger) (*transport.Transport, error) {
 	var streams *transport.StreamLayer
 	if err := start.Do("raft", func() (failed error) {
 		streams, failed = transport.Listen(n.cfg.RaftListen, n.cfg.advertisedAddress())
--- a/internal/registry/storage/log.go
+++ b/internal/registry/storage/log.go
@@ -35,7 +35,7 @@
 	firstFailure          error       // error of the first failed write, returned by every later write
 	Failed                chan error  // receives the first write failure
 	OnFailure             func(error) // called with the first write failure
-	faults                *fault.Plan
+	faults                *fault.Injector
 	slowThreshold         time.Duration // a write that takes longer counts as slow
 	lastWriteNanos        atomic.Int64  // duration of the last write
 	writes                atomic.Int64  // number of writes since the file was opened
@@ -118,7 +118,7 @@
 }
 
 // OpenStore opens the file, and creates it if it is absent. A write that takes longer than slow counts as slow.
-func OpenStore(path string, slow time.Duration, faults *fault.Plan) (*Store, error) {
+func OpenStore(path string, slow time.Duration, faults *fault.Injector) (*Store, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		if err := createStore(path); err != nil {
 			return nil, fmt.Errorf("%s: create: %w", path, err)
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -170,7 +170,7 @@
 
 // checkWritable writes, syncs and removes a file in the data directory. It rejects a directory without a log, as its
 // file system may not be mounted.
-func checkWritable(dir string, faults *fault.Plan) error {
+func checkWritable(dir string, faults *fault.Injector) error {
 	if _, err := os.Stat(filepath.Join(dir, storage.StoreFile)); err != nil {
 		return err
 	}
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -65,7 +65,7 @@
 }
 
 // setFaults sets the faults of the replica's disk. An empty set ends them.
-func (c *supervised) setFaults(t *testing.T, set fault.Set) {
+func (c *supervised) setFaults(t *testing.T, set fault.Config) {
 	t.Helper()
 	require.NoError(t, set.Write(c.faults))
 }
@@ -193,9 +193,9 @@
 }
 
 // diskFailures are the kinds of failed disk writes.
-var diskFailures = map[string]fault.Set{
-	"sync kept": fault.NewSet(0, 0, fault.SyncErrorPersisted),
-	"sync lost": fault.NewSet(0, 0, fault.SyncErrorLost),
+var diskFailures = map[string]fault.Config{
+	"sync kept": fault.NewConfig(0, 0, fault.SyncErrorPersisted),
+	"sync lost": fault.NewConfig(0, 0, fault.SyncErrorLost),
 	"no space":  {Calls: map[string]string{fault.CallWrite: "ENOSPC"}},
 	"I/O error": {Calls: map[string]string{fault.CallWrite: "EIO"}},
 }
@@ -225,7 +225,7 @@
 					until(t, "a write without the replica", func() bool { return register(running, "meanwhile") })
 					until(t, "a read without the replica", func() bool { return servedEntries(t, running[0])["meanwhile"] })
 				}
-				failing.setFaults(t, fault.Set{})
+				failing.setFaults(t, fault.Config{})
 				until(t, "the replica to reopen", func() bool {
 					st, answers := failing.status()
 					return answers && st.Leader != ""
@@ -250,7 +250,7 @@
 			for i := range 5 {
 				assert.False(t, register(all, fmt.Sprint("lost-", i)))
 			}
-			one.setFaults(t, fault.Set{})
+			one.setFaults(t, fault.Config{})
 			awaitLeader(t, all)
 			until(t, "a write after the disk recovered", func() bool { return register(all, "after") })
 			assert.Equal(t, map[string]bool{"before": true, "after": true}, servedEntries(t, one))
@@ -279,7 +279,7 @@
 				return !first || !second
 			})
 			for _, c := range all {
-				c.setFaults(t, fault.Set{})
+				c.setFaults(t, fault.Config{})
 			}
 			for _, c := range all {
 				c.awaitEntries(t, "before")
@@ -310,11 +310,11 @@
 			all := supervise(t, 1, nil)
 			one := all[0]
 			require.True(t, register(all, "before"))
-			one.setFaults(t, fault.NewSet(0, 0, fault.SyncErrorLost))
+			one.setFaults(t, fault.NewConfig(0, 0, fault.SyncErrorLost))
 			register(all, "lost")
 			one.awaitClosed(t)
 			c.harm(t, one.cfg.Dir)
-			one.setFaults(t, fault.Set{})
+			one.setFaults(t, fault.Config{})
 			select {
 			case err := <-one.ended:
 				assert.ErrorContains(t, err, c.says)
@@ -333,13 +333,13 @@
 	all := supervise(t, 1, nil)
 	one := all[0]
 	require.True(t, register(all, "before"))
-	one.setFaults(t, fault.NewSet(0, 0, fault.SyncErrorLost))
+	one.setFaults(t, fault.NewConfig(0, 0, fault.SyncErrorLost))
 	register(all, "lost")
 	one.awaitClosed(t)
 	away := one.cfg.Dir + ".away"
 	require.NoError(t, os.Rename(one.cfg.Dir, away))
 	require.NoError(t, os.Mkdir(one.cfg.Dir, 0o700)) // an empty mount point
-	one.setFaults(t, fault.Set{})
+	one.setFaults(t, fault.Config{})
 	cfg := one.cfg
 	cfg.reopened = true
 	_, err := Open(cfg)
@@ -356,11 +356,11 @@
 	all := supervise(t, 1, nil)
 	one := all[0]
 	one.supervisor.Reload(listserver.Options{MaxStaleness: time.Hour, BatchInterval: time.Millisecond})
-	one.setFaults(t, fault.NewSet(0, 0, fault.SyncErrorLost))
+	one.setFaults(t, fault.NewConfig(0, 0, fault.SyncErrorLost))
 	register(all, "lost")
 	one.awaitClosed(t)
 	one.supervisor.Reload(listserver.Options{MaxStaleness: 2 * time.Hour, BatchInterval: time.Millisecond})
-	one.setFaults(t, fault.Set{})
+	one.setFaults(t, fault.Config{})
 	awaitLeader(t, all)
 	assert.Equal(t, 2*time.Hour, one.supervisor.Node().Server().Options().MaxStaleness)
 }
@@ -394,13 +394,13 @@
 	const cycles = 50
 	var goroutines, files int
 	for cycle := range cycles {
-		require.NoError(t, fault.Set{}.Write(faults))
+		require.NoError(t, fault.Config{}.Write(faults))
 		n, err := Open(cfg)
 		require.NoError(t, err)
 		ended := make(chan error, 1)
 		go func() { ended <- n.Run(t.Context()) }()
 		until(t, "the first write", func() bool { return n.Term() != 0 && n.Server().Status().Rev > 0 })
-		require.NoError(t, fault.NewSet(0, 0, fault.SyncErrorLost).Write(faults))
+		require.NoError(t, fault.NewConfig(0, 0, fault.SyncErrorLost).Write(faults))
 		_, err = n.Apply(&state.Command{Op: state.OpPut, Entry: &state.Entry{UID: "lost", Endpoint: "127.0.0.1:1", State: state.Ready}}, time.Second)
 		require.ErrorIs(t, err, listserver.ErrNoQuorum)
 		var disk *DiskError
--- a/internal/retry/errno.go
+++ b/internal/retry/errno.go
@@ -17,9 +17,9 @@
 	syscall.EADDRINUSE, syscall.EIO, syscall.EBUSY, syscall.ETXTBSY, syscall.ETIMEDOUT, syscall.ESTALE, syscall.ENETDOWN,
 }
 
-// ShortOfResources reports whether a system call failed because the system or this process had no descriptor, buffer,
+// IsResourceShortage reports whether a system call failed because the system or this process had no descriptor, buffer,
 // memory or space left for it, or because it was interrupted.
-func ShortOfResources(err error) bool { return hasErrno(err, resourceErrnos) }
+func IsResourceShortage(err error) bool { return hasErrno(err, resourceErrnos) }
 
 // transientAtStart reports whether a failure of socket, bind, listen, open or read may end within StartLimit. Others need
 // an operator, such as EACCES, EPERM, ENOENT, EADDRNOTAVAIL and EAFNOSUPPORT.
--- a/internal/retry/start.go
+++ b/internal/retry/start.go
@@ -12,8 +12,8 @@
 // StartLimit is how long the calls of a program's start are retried in all, from the first failure on.
 const StartLimit = 5 * time.Second
 
-// Start retries the calls of one start of a program. All of them share StartLimit. It is safe for concurrent use.
-type Start struct {
+// StartRetrier retries the calls of one start of a program. All of them share StartLimit. It is safe for concurrent use.
+type StartRetrier struct {
 	ctx context.Context
 	log *slog.Logger
 
@@ -21,18 +21,18 @@
 	deadline time.Time  // zero: no call has failed yet
 }
 
-// NewStart returns a start that ends with its context. A nil logger stands for the default one.
-func NewStart(ctx context.Context, log *slog.Logger) *Start {
+// NewStartRetrier returns a start that ends with its context. A nil logger stands for the default one.
+func NewStartRetrier(ctx context.Context, log *slog.Logger) *StartRetrier {
 	if log == nil {
 		log = slog.Default()
 	}
-	return &Start{ctx: ctx, log: log}
+	return &StartRetrier{ctx: ctx, log: log}
 }
 
 // Do makes a call, and retries it while its failure is transient and StartLimit has not passed. The first failure is
 // logged with the name of the call. Do returns the error of the last call; if the context ends in a pause, the context's
 // cause is joined to it.
-func (s *Start) Do(name string, call func() error) error {
+func (s *StartRetrier) Do(name string, call func() error) error {
 	backoff := NewBackoff()
 	for attempt := 1; ; attempt++ {
 		err := call()
@@ -53,7 +53,7 @@
 }
 
 // remaining is how long calls may still be retried. The first call of it starts the limit.
-func (s *Start) remaining() time.Duration {
+func (s *StartRetrier) remaining() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.deadline.IsZero() {
--- a/internal/retry/start_test.go
+++ b/internal/retry/start_test.go
@@ -14,9 +14,9 @@
 	"golang.org/x/sys/unix"
 )
 
-func newTestStart(t *testing.T) *Start {
+func newTestStart(t *testing.T) *StartRetrier {
 	t.Helper()
-	return NewStart(t.Context(), slog.New(slog.DiscardHandler))
+	return NewStartRetrier(t.Context(), slog.New(slog.DiscardHandler))
 }
 
 func TestStart_transientErrno(t *testing.T) {
@@ -88,7 +88,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		started := time.Now()
-		err := NewStart(ctx, slog.New(slog.DiscardHandler)).Do("bind", func() error { return unix.ENFILE })
+		err := NewStartRetrier(ctx, slog.New(slog.DiscardHandler)).Do("bind", func() error { return unix.ENFILE })
 		if !errors.Is(err, context.DeadlineExceeded) || !errors.Is(err, unix.ENFILE) || time.Since(started) != time.Second {
 			t.Errorf("%v after %v", err, time.Since(started))
 		}
--- a/internal/rollout/explore_keys.go
+++ b/internal/rollout/explore_keys.go
@@ -17,7 +17,7 @@
 	if p == nil {
 		return append(b, 0)
 	}
-	b = statekey.AppendInts(b, 1, statekey.Bit(p.Gone))
+	b = statekey.AppendInts(b, 1, statekey.BoolInt(p.Gone))
 	if p.LeaseUntil > now {
 		b = statekey.AppendInts(b, p.LeaseUntil, p.AcknowledgedRev)
 	}
@@ -34,7 +34,7 @@
 		return append(b, 0)
 	}
 	demand := progress.demands[key]
-	queued := statekey.Bit(demand.ticket != 0)
+	queued := statekey.BoolInt(demand.ticket != 0)
 	return statekey.AppendInts(b, demand.requestedAt, demand.grantedAt, progress.waitingBefore(demand), queued)
 }
 
@@ -57,7 +57,7 @@
 // AppendAccountKey appends an account.
 func (s *State) AppendAccountKey(b []byte, tenant, name, key string) []byte {
 	a := s.Account(tenant, name, key)
-	return statekey.AppendInts(b, a.Granted, a.Spent, a.Returned, statekey.Bit(a.Gone))
+	return statekey.AppendInts(b, a.Granted, a.Spent, a.Returned, statekey.BoolInt(a.Gone))
 }
 
 // AppendKey appends the state of one rollout, without its accounts.
--- a/internal/rollout/model/budget_world.go
+++ b/internal/rollout/model/budget_world.go
@@ -67,7 +67,7 @@
 
 func (w *BudgetWorld) sidecarKey(s *budgetSidecar) []byte {
 	b := statekey.AppendInts(nil, s.Start, s.Budget.Granted, s.Budget.Spent, s.Budget.Returned, s.Budget.Reserved, int64(s.stage))
-	b = statekey.AppendInts(b, max(s.LeaseUntil, w.clock), statekey.Bit(s.CanaryActive))
+	b = statekey.AppendInts(b, max(s.LeaseUntil, w.clock), statekey.BoolInt(s.CanaryActive))
 	for start := int64(1); start <= s.Start; start++ {
 		key := rollout.AccountKey(route.Process{Name: s.Name, Start: start})
 		b = w.state.AppendAccountKey(b, tenantID, rolloutID, key)
--- a/internal/rollout/model/lease_world.go
+++ b/internal/rollout/model/lease_world.go
@@ -79,7 +79,7 @@
 	var seqs []int64
 	switch s.stage {
 	case sent:
-		b = statekey.AppendInts(b, max(s.sentAt+1, w.clock), s.report.AcknowledgedRev, statekey.Bit(s.confirmed))
+		b = statekey.AppendInts(b, max(s.sentAt+1, w.clock), s.report.AcknowledgedRev, statekey.BoolInt(s.confirmed))
 		seqs = append(seqs, s.Seq)
 	case answered:
 		b = statekey.AppendInts(b, max(s.sentAt+s.leaseTerm, w.clock))
--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -15,7 +15,7 @@
 }
 
 // New returns a clock that starts at the time of the wall clock, which includes a step injected by faults.
-func New(faults *fault.Plan) Clock {
+func New(faults *fault.Injector) Clock {
 	wall, start, _ := wallReader(faults)()
 	return Clock{start: start, base: UnixMillis(wall)}
 }
--- a/internal/sidecar/clock/step_detector.go
+++ b/internal/sidecar/clock/step_detector.go
@@ -28,13 +28,13 @@
 }
 
 // NewStepDetector returns a detector for the wall clock, which includes steps injected by faults.
-func NewStepDetector(c Clock, faults *fault.Plan) *StepDetector {
+func NewStepDetector(c Clock, faults *fault.Injector) *StepDetector {
 	return &StepDetector{clock: c, read: wallReader(faults)}
 }
 
 // wallReader returns a function that reads the wall clock and the monotonic clock at the same moment. ok is false if the
 // process was held up between the two reads.
-func wallReader(faults *fault.Plan) func() (wall, monotonic time.Time, ok bool) {
+func wallReader(faults *fault.Injector) func() (wall, monotonic time.Time, ok bool) {
 	if faults == nil {
 		return func() (wall, monotonic time.Time, ok bool) {
 			now := time.Now()
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -46,7 +46,7 @@
 	KnownList       endpointlist.List // last known endpoint list, maybe outdated; used until a list service responds
 	Routes          *Routes           // section routes; nil: routing is off
 	Membership      *Membership       // section members; nil: membership is off
-	Faults          *fault.Plan       // faults injected by the lab; nil: none
+	Faults          *fault.Injector   // faults injected by the lab; nil: none
 
 	tempDir string // directory shared with the predecessor and successor process; empty: none
 }
@@ -175,11 +175,11 @@
 // take precedence over the file if they are set. If reading the file fails with a temporary error, it is read again for
 // up to retry.StartLimit. Errors name the file, and the key if there is one.
 func Load(getenv func(string) string) (*Config, error) {
-	return LoadWith(getenv, RetryingRead(retry.NewStart(context.Background(), nil), os.ReadFile))
+	return LoadWith(getenv, RetryingRead(retry.NewStartRetrier(context.Background(), nil), os.ReadFile))
 }
 
 // RetryingRead returns a function that reads a file and retries temporary errors within the limits of start.
-func RetryingRead(start *retry.Start, readFile func(path string) ([]byte, error)) func(path string) ([]byte, error) {
+func RetryingRead(start *retry.StartRetrier, readFile func(path string) ([]byte, error)) func(path string) ([]byte, error) {
 	return func(path string) (data []byte, err error) {
 		err = start.Do("read "+path, func() (failed error) {
 			data, failed = readFile(path)
--- a/internal/sidecar/config/start_test.go
+++ b/internal/sidecar/config/start_test.go
@@ -23,7 +23,7 @@
 				}
 				return os.ReadFile(path)
 			}
-			start := retry.NewStart(t.Context(), slog.New(slog.DiscardHandler))
+			start := retry.NewStartRetrier(t.Context(), slog.New(slog.DiscardHandler))
 			if _, err := config.LoadWith(env, config.RetryingRead(start, read)); err != nil || attempts != 3 {
 				t.Errorf("error %v after %d attempts, want success at the third", err, attempts)
 			}
--- a/internal/sidecar/handover/successors.go
+++ b/internal/sidecar/handover/successors.go
@@ -21,7 +21,7 @@
 type Successors struct {
 	Listener     *net.TCPListener // the listening socket for clients, which is sent to successors
 	CountChanged func(alive int)  // called with the number of successors when it changes
-	Faults       *fault.Plan      // faults that the lab injects; nil: none
+	Faults       *fault.Injector  // faults that the lab injects; nil: none
 	Bind         func(network string, addr *net.UnixAddr) (*net.UnixListener, error)
 	Serving      atomic.Int64 // number of successors that serve
 
--- a/internal/sidecar/netcall/retry.go
+++ b/internal/sidecar/netcall/retry.go
@@ -29,7 +29,7 @@
 func RetryQuery(call func() error) error {
 	var err error
 	for range maxQueryTries {
-		if err = call(); !retry.ShortOfResources(err) {
+		if err = call(); !retry.IsResourceShortage(err) {
 			return err
 		}
 	}
@@ -39,11 +39,11 @@
 // RetryCall makes a call, and repeats it for up to maxCallTime while the system is short of resources.
 func RetryCall(call func() error) error {
 	err := call()
-	if !retry.ShortOfResources(err) {
+	if !retry.IsResourceShortage(err) {
 		return err
 	}
 	backoff := retry.Backoff{Min: minCallPause, Max: maxCallPause}
-	for startedAt := time.Now(); retry.ShortOfResources(err) && time.Since(startedAt) < maxCallTime; err = call() {
+	for startedAt := time.Now(); retry.IsResourceShortage(err) && time.Since(startedAt) < maxCallTime; err = call() {
 		time.Sleep(backoff.Next())
 	}
 	return err
--- a/internal/sidecar/planted_test.go
+++ b/internal/sidecar/planted_test.go
@@ -44,7 +44,7 @@
 			var failures atomic.Int64
 			s := start(t, c, func(s *Sidecar) { countAcceptFailures(t, s.listener, &failures) })
 			sidecartest.Until(t, "failing accepts", func() bool { return failures.Load() >= 3 })
-			if err := (fault.Set{}).Write(path); err != nil {
+			if err := (fault.Config{}).Write(path); err != nil {
 				t.Fatal(err)
 			}
 			if got := s.do(s.request("charge", 5*time.Second)); got.status != 200 {
@@ -57,7 +57,7 @@
 // planFault makes all further calls of a system call fail, for sidecars that read the file at path.
 func planFault(t *testing.T, path, call, errno string) {
 	t.Helper()
-	if err := (fault.Set{Calls: map[string]string{call: errno}}).Write(path); err != nil {
+	if err := (fault.Config{Calls: map[string]string{call: errno}}).Write(path); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -91,7 +91,7 @@
 		p.Close()
 	})
 	sidecartest.Until(t, "more failing accepts", func() bool { return failures.Load() >= 6 })
-	if err := (fault.Set{}).Write(path); err != nil {
+	if err := (fault.Config{}).Write(path); err != nil {
 		t.Fatal(err)
 	}
 	sidecartest.Until(t, "the health check to succeed", func() bool { return old.healthy(t) })
@@ -120,7 +120,7 @@
 	}
 	sent := time.Now()
 	sidecartest.Until(t, "the request to wait in the accept queue", func() bool { return time.Since(sent) >= waited })
-	if err := (fault.Set{}).Write(path); err != nil {
+	if err := (fault.Config{}).Write(path); err != nil {
 		t.Fatal(err)
 	}
 	left, err := strconv.Atoi(sidecartest.Receive(t, "the attempt", timeouts))
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -124,7 +124,7 @@
 			}()
 			signals <- syscall.SIGHUP
 			sidecartest.Until(t, "a second reading after the signal", func() bool { return reads.Load() >= 3 })
-			if err := (fault.Set{}).Write(faults); err != nil {
+			if err := (fault.Config{}).Write(faults); err != nil {
 				t.Fatal(err)
 			}
 			replace(text)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -58,7 +58,7 @@
 // Open reads the configuration, applies its limits to the Go runtime and prepares a sidecar as New does. Operations
 // that fail with a transient error are retried, for at most retry.StartLimit in total and until ctx is cancelled.
 func Open(ctx context.Context, getenv func(string) string) (*Sidecar, error) {
-	start := retry.NewStart(ctx, nil)
+	start := retry.NewStartRetrier(ctx, nil)
 	cfg, err := config.LoadWith(getenv, config.RetryingRead(start, os.ReadFile))
 	if err != nil {
 		return nil, err
@@ -70,10 +70,10 @@
 // New prepares a sidecar and binds its addresses. If binding an address fails with a transient error it is retried, for
 // up to retry.StartLimit. The error names the key of the address.
 func New(cfg *config.Config) (*Sidecar, error) {
-	return newSidecar(cfg, retry.NewStart(context.Background(), nil))
+	return newSidecar(cfg, retry.NewStartRetrier(context.Background(), nil))
 }
 
-func newSidecar(cfg *config.Config, start *retry.Start) (*Sidecar, error) {
+func newSidecar(cfg *config.Config, start *retry.StartRetrier) (*Sidecar, error) {
 	balancer, err := balance.New(cfg.Balance)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -126,7 +126,7 @@
 }
 
 // listenManagement binds the management address. It returns nil if none is configured.
-func listenManagement(cfg *config.Config, start *retry.Start) (*clientserver.Limiter, error) {
+func listenManagement(cfg *config.Config, start *retry.StartRetrier) (*clientserver.Limiter, error) {
 	if cfg.Management == "" {
 		return nil, nil
 	}
@@ -142,7 +142,7 @@
 }
 
 // listenClients takes over the listening socket for clients from the predecessor, or binds the address if there is none.
-func listenClients(cfg *config.Config, start *retry.Start) (*handover.Predecessor, net.Listener, error) {
+func listenClients(cfg *config.Config, start *retry.StartRetrier) (*handover.Predecessor, net.Listener, error) {
 	var predecessor *handover.Predecessor
 	var listener net.Listener
 	err := start.Do("upgrade", func() (failed error) {
@@ -284,7 +284,7 @@
 	if socket == "" {
 		return func() {}
 	}
-	start := retry.NewStart(ctx, nil)
+	start := retry.NewStartRetrier(ctx, nil)
 	if err := start.Do("upgrade", func() error { return s.successors.Listen(socket) }); err != nil {
 		slog.Warn("upgrade: failed to listen for successors", "err", err)
 		return func() {}
--- a/internal/sidecar/start_test.go
+++ b/internal/sidecar/start_test.go
@@ -42,7 +42,7 @@
 			}
 			failed, bound := make(logSignal, 1), make(chan error, 1)
 			go func() {
-				s, err := newSidecar(cfg, retry.NewStart(t.Context(), slog.New(slog.NewTextHandler(failed, nil))))
+				s, err := newSidecar(cfg, retry.NewStartRetrier(t.Context(), slog.New(slog.NewTextHandler(failed, nil))))
 				if err == nil {
 					s.listener.Close()
 				}
@@ -71,7 +71,7 @@
 				t.Fatal(err)
 			}
 			failed := make(logSignal, 1)
-			_, err = newSidecar(cfg, retry.NewStart(t.Context(), slog.New(slog.NewTextHandler(failed, nil))))
+			_, err = newSidecar(cfg, retry.NewStartRetrier(t.Context(), slog.New(slog.NewTextHandler(failed, nil))))
 			if !errors.Is(err, syscall.EADDRNOTAVAIL) || !strings.Contains(err.Error(), key) || len(failed) > 0 {
 				t.Errorf("error %v, retried: %v", err, len(failed) > 0)
 			}
--- a/internal/sidecar/wallclock_test.go
+++ b/internal/sidecar/wallclock_test.go
@@ -26,7 +26,7 @@
 			watch := sidecartest.Receive(t, "the watch", reg.Calls)
 			watch.SendList(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target}})
 			sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
-			if err := fault.NewSet(step, 0, "").Write(path); err != nil {
+			if err := fault.NewConfig(step, 0, "").Write(path); err != nil {
 				t.Fatal(err)
 			}
 			restarted := b.Target
--- a/internal/snapshot/age.go
+++ b/internal/snapshot/age.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Ageing says how fast a state goes out of date.
-type Ageing struct {
+// AgingPolicy says how fast a state goes out of date.
+type AgingPolicy struct {
 	SizeHalfLife time.Duration // in which the weight of sizes halves
 	MaxSizeAge   time.Duration // beyond which sizes have no weight
 	MaxRateAge   time.Duration // beyond which rates are dropped
@@ -17,9 +17,9 @@
 	ClockSlack time.Duration
 }
 
-// DefaultAgeing suits a fleet whose servers are replaced within hours and whose faults last for seconds.
-func DefaultAgeing() Ageing {
-	return Ageing{
+// DefaultAgingPolicy suits a fleet whose servers are replaced within hours and whose faults last for seconds.
+func DefaultAgingPolicy() AgingPolicy {
+	return AgingPolicy{
 		SizeHalfLife: time.Hour,
 		MaxSizeAge:   24 * time.Hour,
 		MaxRateAge:   30 * time.Second,
@@ -31,64 +31,64 @@
 
 // Age is how old a state is.
 type Age struct {
-	Elapsed time.Duration // since the state was written
-	Known   bool          // false: the wall clock has gone back
-	Weight  float64       // of the sizes, from 0 to 1
+	Elapsed    time.Duration // since the state was written
+	Known      bool          // false: the wall clock has gone back
+	SizeWeight float64       // of the sizes, from 0 to 1
 }
 
 // unknownAgeWeight is the weight of sizes of unknown age: that after one half-life.
 const unknownAgeWeight = 0.5
 
-// Aged returns the state as it is now. Sizes decay towards those of unknown servers, rates and errors are dropped in
+// AgedAt returns the state as it is now. Sizes decay towards those of unknown servers, rates and errors are dropped in
 // time, ejections and warm-ups go on, and the list grows older.
 //
 // If the wall clock has gone back, the age is unknown, and each value is taken on its careful side: sizes have half
 // their weight, there are no rates, and errors, ejections and warm-ups are as if no time had passed. These end within
 // seconds, whereas a server that is overloaded while it warms up takes longer to recover.
-func (s *Snapshot) Aged(now time.Time, ageing Ageing) (*Snapshot, Age) {
-	age := ageing.ageOf(now.Sub(s.Written))
+func (s *Snapshot) AgedAt(now time.Time, policy AgingPolicy) (*Snapshot, Age) {
+	age := policy.ageAfter(now.Sub(s.Written))
 	aged := *s
 	aged.List.Age += milliseconds(age.Elapsed)
 	aged.List.Servers = slices.Clone(s.List.Servers)
-	aged.Learned = Learned{Kinds: scaled(s.Learned.Kinds, age.Weight), Zones: scaled(s.Learned.Zones, age.Weight)}
-	if age.Known && age.Elapsed <= ageing.MaxRateAge {
+	aged.Learned = Learned{Kinds: scaled(s.Learned.Kinds, age.SizeWeight), Zones: scaled(s.Learned.Zones, age.SizeWeight)}
+	if age.Known && age.Elapsed <= policy.MaxRateAge {
 		aged.Learned.Rates = s.Learned.Rates
 	}
 	for _, server := range s.Learned.Servers {
-		aged.Learned.Servers = append(aged.Learned.Servers, server.aged(age, ageing))
+		aged.Learned.Servers = append(aged.Learned.Servers, server.aged(age, policy))
 	}
 	return &aged, age
 }
 
-// ageOf returns the age of a state that the wall clock says was written so long ago.
-func (a Ageing) ageOf(elapsed time.Duration) Age {
+// ageAfter returns the age of a state that the wall clock says was written so long ago.
+func (a AgingPolicy) ageAfter(elapsed time.Duration) Age {
 	switch {
 	case elapsed < -a.ClockSlack:
-		return Age{Weight: unknownAgeWeight}
+		return Age{SizeWeight: unknownAgeWeight}
 	case elapsed > a.MaxSizeAge:
 		return Age{Elapsed: elapsed, Known: true}
 	}
 	elapsed = max(elapsed, 0)
-	return Age{Elapsed: elapsed, Known: true, Weight: math.Exp2(-elapsed.Seconds() / a.SizeHalfLife.Seconds())}
+	return Age{Elapsed: elapsed, Known: true, SizeWeight: math.Exp2(-elapsed.Seconds() / a.SizeHalfLife.Seconds())}
 }
 
 // aged returns the server as it is now. Ejections in a row are forgotten once the last is over and no error counts.
-func (s Server) aged(age Age, ageing Ageing) Server {
+func (s Server) aged(age Age, policy AgingPolicy) Server {
 	elapsed := milliseconds(age.Elapsed)
-	s.Size *= age.Weight
+	s.Size *= age.SizeWeight
 	s.ErrorAge += elapsed
-	if s.ErrorAge > milliseconds(ageing.MaxErrorAge) {
+	if s.ErrorAge > milliseconds(policy.MaxErrorAge) {
 		s.ConsecutiveErrors, s.Down = 0, false
 	}
 	if s.ConsecutiveErrors == 0 {
 		s.ErrorAge = 0
 	}
-	s.EjectionLeft = max(s.EjectionLeft-elapsed, 0)
-	if s.EjectionLeft == 0 && s.ConsecutiveErrors == 0 {
+	s.EjectionRemaining = max(s.EjectionRemaining-elapsed, 0)
+	if s.EjectionRemaining == 0 && s.ConsecutiveErrors == 0 {
 		s.Ejections = 0
 	}
 	s.WarmUpAge += elapsed
-	if !s.WarmingUp || s.WarmUpAge > milliseconds(ageing.WarmUpTime) {
+	if !s.WarmingUp || s.WarmUpAge > milliseconds(policy.WarmUpTime) {
 		s.WarmingUp, s.WarmUpAge = false, 0
 	}
 	return s
--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -50,11 +50,11 @@
 	require.NoError(t, err)
 	state := crashcheck.State(1, 0)
 	require.NoError(t, store.Save(t.Context(), state))
-	requireAllowed(t, d, crashcheck.Allowed{States: []*snapshot.Snapshot{state}, MinSeq: 1})
+	requireAllowed(t, d, crashcheck.AllowedStates{States: []*snapshot.Snapshot{state}, MinSeq: 1})
 }
 
 // requireAllowed checks all images that a loss of power may leave now.
-func requireAllowed(t *testing.T, d *disk.Disk, allowed crashcheck.Allowed) {
+func requireAllowed(t *testing.T, d *disk.Disk, allowed crashcheck.AllowedStates) {
 	t.Helper()
 	for image := range d.CrashImages(d.OpCount()) {
 		_, err := allowed.Check(image)
@@ -120,7 +120,7 @@
 					require.ErrorIs(t, store.Save(t.Context(), next), failure)
 					saved = append(saved, next)
 				}
-				requireAllowed(t, d, crashcheck.Allowed{States: saved, MinSeq: saved[0].Seq})
+				requireAllowed(t, d, crashcheck.AllowedStates{States: saved, MinSeq: saved[0].Seq})
 				d.Fail = nil
 				last := crashcheck.State(9, 1)
 				require.NoError(t, store.Save(t.Context(), last))
--- a/internal/snapshot/crashcheck/crashcheck.go
+++ b/internal/snapshot/crashcheck/crashcheck.go
@@ -40,7 +40,7 @@
 	s := &snapshot.Snapshot{Identity: Identity(), Written: time.UnixMilli(1_700_000_000_000 + int64(number)).UTC()}
 	s.Learned.Kinds = map[string]float64{"big": float64(number) + 0.5}
 	s.Learned.Rates = snapshot.Rates{Requests: float64(number),
-		Classes: map[string]snapshot.Class{"read": {Answers: 3, Mean: float64(number), Deviation: 1}}}
+		Classes: map[string]snapshot.Class{"read": {Responses: 3, Mean: float64(number), Deviation: 1}}}
 	for i := range servers {
 		uid := fmt.Sprintf("server-%d", i)
 		s.Learned.Servers = append(s.Learned.Servers,
@@ -52,22 +52,22 @@
 	return s
 }
 
-// Allowed describes the states that may be loaded after a crash.
-type Allowed struct {
+// AllowedStates describes the states that may be loaded after a crash.
+type AllowedStates struct {
 	States []*snapshot.Snapshot
 	MinSeq uint64 // of the last state whose Save returned; 0: none has
 }
 
-// AllowedAfter returns what may be loaded once a process has loaded a state, or nil, and has not saved another.
-func AllowedAfter(loaded *snapshot.Snapshot) Allowed {
+// AllowedAfterLoad returns what may be loaded once a process has loaded a state, or nil, and has not saved another.
+func AllowedAfterLoad(loaded *snapshot.Snapshot) AllowedStates {
 	if loaded == nil {
-		return Allowed{}
+		return AllowedStates{}
 	}
-	return Allowed{States: []*snapshot.Snapshot{loaded}, MinSeq: loaded.Seq}
+	return AllowedStates{States: []*snapshot.Snapshot{loaded}, MinSeq: loaded.Seq}
 }
 
 // Check loads a state from a disk with this image. It returns the state, or how the image breaks the promise.
-func (a Allowed) Check(image disk.Image) (*snapshot.Snapshot, error) {
+func (a AllowedStates) Check(image disk.Image) (*snapshot.Snapshot, error) {
 	store, _ := Open(Dir, disk.New(image)) // a store that cannot save can load
 	loaded, unused := store.Load()
 	switch {
@@ -86,8 +86,8 @@
 }
 
 const (
-	// savesOfProcess is how many states a process saves before the crash: each generation is written twice.
-	savesOfProcess = 4
+	// savesPerProcess is how many states a process saves before the crash: each generation is written twice.
+	savesPerProcess = 4
 	// maxSaveOps is the highest number of operations of a save: remove, create, write, sync, rename, sync of the folder.
 	maxSaveOps = 6
 	// neverKilled as a number of operations is a process that ends by itself.
@@ -100,14 +100,14 @@
 // checks that in the same way. It returns the number of different images that it checked. Processes use the disk through
 // the file system that wrap returns.
 func CheckEveryCrash(wrap func(*disk.Disk) fsys.FS) (images int, err error) {
-	c := &checker{seen: map[string]bool{}, wrap: wrap}
+	c := &checker{checkedImages: map[string]bool{}, wrap: wrap}
 	for killedBefore := neverKilled; killedBefore <= maxSaveOps; killedBefore++ {
-		run := processRun{saves: savesOfProcess, killedBefore: killedBefore}
-		if err := c.checkCrashes(disk.New(disk.Image{"/": nil}), Allowed{}, run, true); err != nil {
-			return len(c.seen), fmt.Errorf("killed before operation %d of the last save (-1: never): %w", killedBefore, err)
+		run := processRun{saves: savesPerProcess, killedBefore: killedBefore}
+		if err := c.checkCrashes(disk.New(disk.Image{"/": nil}), AllowedStates{}, run, true); err != nil {
+			return len(c.checkedImages), fmt.Errorf("killed before operation %d of the last save (-1: never): %w", killedBefore, err)
 		}
 	}
-	return len(c.seen), nil
+	return len(c.checkedImages), nil
 }
 
 // processRun is what a process does: it opens the folder, loads and saves.
@@ -117,29 +117,29 @@
 }
 
 type checker struct {
-	seen       map[string]bool // images by imageKey
-	wrap       func(*disk.Disk) fsys.FS
-	stateCount int // states saved so far
+	checkedImages map[string]bool // images by imageKey
+	wrap          func(*disk.Disk) fsys.FS
+	stateCount    int // states saved so far
 }
 
 // checkCrashes runs a process and checks each image that a loss of power may leave. If recovers is true, it continues
 // with a process that starts from the image.
-func (c *checker) checkCrashes(d *disk.Disk, before Allowed, run processRun, recovers bool) error {
+func (c *checker) checkCrashes(d *disk.Disk, before AllowedStates, run processRun, withRecovery bool) error {
 	allowedAt, err := c.runProcesses(d, before, run)
 	if err != nil {
 		return err
 	}
 	for opCount, allowed := range allowedAt {
 		for image := range d.CrashImages(opCount) {
-			key := imageKey(image, allowed, recovers)
-			if c.seen[key] {
+			key := imageKey(image, allowed, withRecovery)
+			if c.checkedImages[key] {
 				continue
 			}
-			c.seen[key] = true
+			c.checkedImages[key] = true
 			loaded, err := allowed.Check(image)
-			if err == nil && recovers {
+			if err == nil && withRecovery {
 				recovery := processRun{saves: 1, killedBefore: neverKilled}
-				err = c.checkCrashes(disk.New(image), AllowedAfter(loaded), recovery, false)
+				err = c.checkCrashes(disk.New(image), AllowedAfterLoad(loaded), recovery, false)
 			}
 			if err != nil {
 				return fmt.Errorf("power lost after operation %d: %w", opCount, err)
@@ -150,15 +150,15 @@
 }
 
 // imageKey identifies an image and what is checked of it.
-func imageKey(image disk.Image, allowed Allowed, recovers bool) string {
+func imageKey(image disk.Image, allowed AllowedStates, recovers bool) string {
 	return fmt.Sprint(allowed.MinSeq, recovers) + image.Key()
 }
 
 // runProcesses runs a process and, if it is killed, another one that saves once. It returns what is allowed after each
 // number of operations.
-func (c *checker) runProcesses(d *disk.Disk, before Allowed, run processRun) ([]Allowed, error) {
+func (c *checker) runProcesses(d *disk.Disk, before AllowedStates, run processRun) ([]AllowedStates, error) {
 	files := c.wrap(d)
-	allowedAt, err := c.runProcess(d, files, []Allowed{before}, run)
+	allowedAt, err := c.runProcess(d, files, []AllowedStates{before}, run)
 	if err != nil || run.killedBefore == neverKilled {
 		return allowedAt, err
 	}
@@ -166,8 +166,8 @@
 }
 
 // runProcess runs a process and extends allowedAt by the operations that it does.
-func (c *checker) runProcess(d *disk.Disk, files fsys.FS, allowedAt []Allowed, run processRun) ([]Allowed, error) {
-	extend := func(allowed Allowed) {
+func (c *checker) runProcess(d *disk.Disk, files fsys.FS, allowedAt []AllowedStates, run processRun) ([]AllowedStates, error) {
+	extend := func(allowed AllowedStates) {
 		for len(allowedAt) <= d.OpCount() {
 			allowedAt = append(allowedAt, allowed)
 		}
--- a/internal/snapshot/crashcheck/random.go
+++ b/internal/snapshot/crashcheck/random.go
@@ -12,23 +12,23 @@
 	"marblelane/internal/testutil/disk"
 )
 
-// maxOpsOfProcess bounds how many operations a process does before the power fails: those of opening and of two saves.
-const maxOpsOfProcess = 12
+// maxOpsPerProcess bounds how many operations a process does before the power fails: those of opening and of two saves.
+const maxOpsPerProcess = 12
 
 // CheckRestarts runs processes one after the other. The power fails at a random operation of each, and the next one
 // starts from a random image that may be left.
 func CheckRestarts(seed uint64, restarts int) error {
 	rng := rand.New(rand.NewPCG(seed, 13))
 	image := disk.Image{"/": nil}
-	var allowed Allowed
+	var allowed AllowedStates
 	for restart := range restarts {
 		loaded, err := allowed.Check(image)
 		if err != nil {
 			return fmt.Errorf("seed %d, restart %d: %w", seed, restart, err)
 		}
-		allowed = AllowedAfter(loaded)
+		allowed = AllowedAfterLoad(loaded)
 		d := disk.New(image)
-		losePowerAfter(d, rng.IntN(maxOpsOfProcess))
+		losePowerAfter(d, rng.IntN(maxOpsPerProcess))
 		store, _ := Open(Dir, d) // each Save retries what failed
 		for save := range 2 {
 			state := State(10*restart+save, rng.IntN(5))
@@ -73,7 +73,7 @@
 		return fmt.Errorf("the save ends with %w, and not with %w", err, want)
 	}
 	d.Fail, d.FreeBytes = nil, disk.Unlimited
-	allowed := Allowed{States: []*snapshot.Snapshot{first, second}, MinSeq: first.Seq}
+	allowed := AllowedStates{States: []*snapshot.Snapshot{first, second}, MinSeq: first.Seq}
 	for image := range d.CrashImages(d.OpCount()) {
 		if _, err := allowed.Check(image); err != nil {
 			return err
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -47,18 +47,18 @@
 
 // Sizes of the parts of a file, and offsets of fields in them, in bytes.
 const (
-	headerFormatAt    = 8
-	headerMinReaderAt = 10
-	headerSectionsAt  = 12
-	headerSizeAt      = 16
-	headerSeqAt       = 24
-	headerCRCAt       = 32
-	headerBytes       = 36
+	headerFormatOffset    = 8
+	headerMinReaderOffset = 10
+	headerSectionsOffset  = 12
+	headerSizeOffset      = 16
+	headerSeqOffset       = 24
+	headerCRCOffset       = 32
+	headerBytes           = 36
 
-	sectionFlagsAt = 4
-	sectionSizeAt  = 8
-	sectionCRCAt   = 12
-	sectionBytes   = 16 // without the body
+	sectionFlagsOffset = 4
+	sectionSizeOffset  = 8
+	sectionCRCOffset   = 12
+	sectionHeaderBytes = 16 // without the body
 
 	digestBytes = sha256.Size
 )
@@ -100,7 +100,7 @@
 // Unwrap returns the cause.
 func (e *DamageError) Unwrap() error { return e.Err }
 
-func damagedAt(offset int, part, format string, args ...any) error {
+func damageError(offset int, part, format string, args ...any) error {
 	return &DamageError{Offset: int64(offset), Part: part, Err: fmt.Errorf(format, args...)}
 }
 
@@ -121,7 +121,7 @@
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	parts := []struct {
+	contents := []struct {
 		name  string
 		flags uint32
 		value any
@@ -130,8 +130,8 @@
 		{sectionLearned, 0, &s.Learned},
 		{sectionList, 0, &s.List},
 	}
-	sections := make([]section, 0, len(parts))
-	for _, part := range parts {
+	sections := make([]section, 0, len(contents))
+	for _, part := range contents {
 		body, err := json.Marshal(part.value)
 		if err != nil {
 			return nil, fmt.Errorf("section %s: %w", part.name, err)
@@ -145,7 +145,7 @@
 func encodeFile(format, minReader uint16, seq uint64, sections []section) []byte {
 	size := headerBytes + digestBytes
 	for _, s := range sections {
-		size += sectionBytes + len(s.body)
+		size += sectionHeaderBytes + len(s.body)
 	}
 	file := make([]byte, 0, size)
 	file = append(file, magic...)
@@ -184,23 +184,23 @@
 func decodeHeader(file []byte) (h header, err error) {
 	switch {
 	case len(file) == 0:
-		return h, damagedAt(0, partHeader, "the file is empty")
+		return h, damageError(0, partHeader, "the file is empty")
 	case len(file) < headerBytes:
-		return h, damagedAt(0, partHeader, "the file ends after %d bytes", len(file))
+		return h, damageError(0, partHeader, "the file ends after %d bytes", len(file))
 	case string(file[:len(magic)]) != magic:
-		return h, damagedAt(0, partHeader, "it does not begin as a state does")
-	case binary.BigEndian.Uint32(file[headerCRCAt:]) != crc32.Checksum(file[:headerCRCAt], castagnoli):
-		return h, damagedAt(0, partHeader, "the checksum is not its own")
+		return h, damageError(0, partHeader, "it does not begin as a state does")
+	case binary.BigEndian.Uint32(file[headerCRCOffset:]) != crc32.Checksum(file[:headerCRCOffset], castagnoli):
+		return h, damageError(0, partHeader, "the checksum is not its own")
 	}
 	h = header{
-		format:    binary.BigEndian.Uint16(file[headerFormatAt:]),
-		minReader: binary.BigEndian.Uint16(file[headerMinReaderAt:]),
-		sections:  int(binary.BigEndian.Uint32(file[headerSectionsAt:])),
-		size:      binary.BigEndian.Uint64(file[headerSizeAt:]),
-		seq:       binary.BigEndian.Uint64(file[headerSeqAt:]),
+		format:    binary.BigEndian.Uint16(file[headerFormatOffset:]),
+		minReader: binary.BigEndian.Uint16(file[headerMinReaderOffset:]),
+		sections:  int(binary.BigEndian.Uint32(file[headerSectionsOffset:])),
+		size:      binary.BigEndian.Uint64(file[headerSizeOffset:]),
+		seq:       binary.BigEndian.Uint64(file[headerSeqOffset:]),
 	}
 	if h.format == 0 || h.minReader > h.format {
-		return h, damagedAt(headerFormatAt, partHeader, "format %d, to be read from %d on, cannot be", h.format, h.minReader)
+		return h, damageError(headerFormatOffset, partHeader, "format %d, to be read from %d on, cannot be", h.format, h.minReader)
 	}
 	return h, nil
 }
@@ -212,7 +212,7 @@
 	if err != nil {
 		return nil, err
 	}
-	sections, err := checkedSections(file, h)
+	sections, err := verifySections(file, h)
 	if err != nil {
 		return nil, err
 	}
@@ -222,18 +222,18 @@
 	}
 	s.Seq = h.seq
 	if err := s.Validate(); err != nil {
-		return nil, damagedAt(headerBytes, partSections, "the state cannot be: %w", err)
+		return nil, damageError(headerBytes, partSections, "the state cannot be: %w", err)
 	}
 	return s, nil
 }
 
-// checkedSections returns the sections of a file that is complete and that this program may read.
-func checkedSections(file []byte, h header) ([]section, error) {
+// verifySections returns the sections of a file that is complete and that this program may read.
+func verifySections(file []byte, h header) ([]section, error) {
 	if h.size != uint64(len(file)) {
-		return nil, damagedAt(headerSizeAt, partHeader, "it tells of %d bytes, and the file has %d", h.size, len(file))
+		return nil, damageError(headerSizeOffset, partHeader, "it tells of %d bytes, and the file has %d", h.size, len(file))
 	}
 	if len(file) < headerBytes+digestBytes {
-		return nil, damagedAt(headerBytes, partDigest, "the file ends after %d bytes", len(file))
+		return nil, damageError(headerBytes, partDigest, "the file ends after %d bytes", len(file))
 	}
 	end := len(file) - digestBytes
 	var sections []section
@@ -244,7 +244,7 @@
 		}
 	}
 	if digest := sha256.Sum256(file[:end]); !bytes.Equal(digest[:], file[end:]) {
-		return nil, damagedAt(end, partDigest, "it is not that of the bytes before it")
+		return nil, damageError(end, partDigest, "it is not that of the bytes before it")
 	}
 	if h.minReader > Format {
 		return nil, fmt.Errorf("%w: format %d, to be read from %d on; this one reads up to %d",
@@ -256,7 +256,7 @@
 // decodeSections splits a file without its digest into its sections.
 func decodeSections(file []byte, count int) ([]section, error) {
 	if count > maxSections {
-		return nil, damagedAt(headerSectionsAt, partHeader, "it tells of %d sections, and %d is the most", count, maxSections)
+		return nil, damageError(headerSectionsOffset, partHeader, "it tells of %d sections, and %d is the most", count, maxSections)
 	}
 	sections, offset := make([]section, 0, count), headerBytes
 	for i := range count {
@@ -265,12 +265,12 @@
 			return nil, err
 		}
 		if slices.ContainsFunc(sections, func(earlier section) bool { return earlier.name == s.name }) {
-			return nil, damagedAt(offset, s.part(i), "it is there twice")
+			return nil, damageError(offset, s.partName(i), "it is there twice")
 		}
 		sections, offset = append(sections, s), offset+size
 	}
 	if offset != len(file) {
-		return nil, damagedAt(offset, partSections, "%d bytes are left over", len(file)-offset)
+		return nil, damageError(offset, partSections, "%d bytes are left over", len(file)-offset)
 	}
 	return sections, nil
 }
@@ -278,24 +278,24 @@
 // decodeSection reads the section with a number that begins at an offset. It returns how many bytes it has in the file.
 func decodeSection(file []byte, offset, number int) (s section, size int, err error) {
 	head := file[offset:]
-	if len(head) < sectionBytes {
-		return s, 0, damagedAt(offset, fmt.Sprintf("section %d", number), "the file ends")
+	if len(head) < sectionHeaderBytes {
+		return s, 0, damageError(offset, fmt.Sprintf("section %d", number), "the file ends")
 	}
-	head, remaining := head[:sectionBytes], head[sectionBytes:]
-	s = section{name: string(head[:sectionFlagsAt]), flags: binary.BigEndian.Uint32(head[sectionFlagsAt:])}
-	bodySize := binary.BigEndian.Uint32(head[sectionSizeAt:])
+	head, remaining := head[:sectionHeaderBytes], head[sectionHeaderBytes:]
+	s = section{name: string(head[:sectionFlagsOffset]), flags: binary.BigEndian.Uint32(head[sectionFlagsOffset:])}
+	bodySize := binary.BigEndian.Uint32(head[sectionSizeOffset:])
 	if uint64(bodySize) > uint64(len(remaining)) {
-		return s, 0, damagedAt(offset, s.part(number), "it tells of %d bytes, and %d are left", bodySize, len(remaining))
+		return s, 0, damageError(offset, s.partName(number), "it tells of %d bytes, and %d are left", bodySize, len(remaining))
 	}
 	s.body = remaining[:bodySize]
-	if binary.BigEndian.Uint32(head[sectionCRCAt:]) != sectionCRC(head[:sectionCRCAt], s.body) {
-		return s, 0, damagedAt(offset, s.part(number), "the checksum is not its own")
+	if binary.BigEndian.Uint32(head[sectionCRCOffset:]) != sectionCRC(head[:sectionCRCOffset], s.body) {
+		return s, 0, damageError(offset, s.partName(number), "the checksum is not its own")
 	}
-	return s, sectionBytes + int(bodySize), nil
+	return s, sectionHeaderBytes + int(bodySize), nil
 }
 
-// part names a section in a DamageError.
-func (s section) part(number int) string { return fmt.Sprintf("section %d (%q)", number, s.name) }
+// partName names a section in a DamageError.
+func (s section) partName(number int) string { return fmt.Sprintf("section %d (%q)", number, s.name) }
 
 // decodeState reads the bodies of the sections. It skips sections that this program does not know and may skip.
 func decodeState(sections []section) (*Snapshot, error) {
@@ -321,7 +321,7 @@
 		}
 	}
 	if head == nil {
-		return nil, damagedAt(headerBytes, partSections, "there is none named %s", sectionHead)
+		return nil, damageError(headerBytes, partSections, "there is none named %s", sectionHead)
 	}
 	s.Identity, s.Written = head.Identity, time.UnixMilli(head.WrittenMS).UTC()
 	return s, nil
--- a/internal/snapshot/format_test.go
+++ b/internal/snapshot/format_test.go
@@ -128,7 +128,7 @@
 		state.Learned.Zones = rapid.MapOfN(rapid.StringMatching(`[a-zé"\\]+`), amount, 1, 5).Draw(t, "zones")
 		for i, size := range rapid.SliceOfN(rapid.Float64(), 0, 5).Draw(t, "sizes") {
 			state.Learned.Servers = append(state.Learned.Servers, snapshot.Server{UID: string(rune('a' + i)), Size: size,
-				WarmingUp: rapid.Bool().Draw(t, "warming up"), EjectionLeft: amount.Draw(t, "ejection left")})
+				WarmingUp: rapid.Bool().Draw(t, "warming up"), EjectionRemaining: amount.Draw(t, "ejection left")})
 		}
 		file, err := snapshot.Encode(state)
 		require.NoError(t, err)
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -37,14 +37,14 @@
 		Written:  time.UnixMilli(1_700_000_000_123).UTC(),
 		Learned: snapshot.Learned{
 			Servers: []snapshot.Server{
-				{UID: "server-0", Size: -0.125, ConsecutiveErrors: 3, ErrorAge: 250.5, Ejections: 2, EjectionLeft: 1500, Down: true, WarmingUp: true,
+				{UID: "server-0", Size: -0.125, ConsecutiveErrors: 3, ErrorAge: 250.5, Ejections: 2, EjectionRemaining: 1500, Down: true, WarmingUp: true,
 					WarmUpAge: 4000, BootUnixMS: 1_699_999_990_000},
 				{UID: "server-1"},
 			},
 			Kinds: map[string]float64{"large": 1.5, "small <&> \"kind\"": -2e-7},
 			Zones: map[string]float64{"zone-é": 0.25},
-			Rates: snapshot.Rates{Requests: 120.5, Answers: 118.25, MinLatencyRatio: 0.75, Classes: map[string]snapshot.Class{
-				"lookup": {Answers: 1000, Mean: 12.5, Deviation: 3.25}, "write": {}}},
+			Rates: snapshot.Rates{Requests: 120.5, Responses: 118.25, MinLatencyRatio: 0.75, Classes: map[string]snapshot.Class{
+				"lookup": {Responses: 1000, Mean: 12.5, Deviation: 3.25}, "write": {}}},
 		},
 		List: snapshot.List{Rev: 1<<28 + 5, Epoch: 1, Age: 1250, Source: "127.0.0.1:7000", Servers: []snapshot.Entry{
 			{UID: "server-0", Endpoint: "127.0.0.1:8080", Zone: "zone-é", Model: "large", PodGroup: 4, State: "Ready",
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -59,7 +59,7 @@
 	ConsecutiveErrors int     `json:"errors,omitempty"`
 	ErrorAge          float64 `json:"error_age_ms,omitempty"`
 	Ejections         int     `json:"rests,omitempty"` // in a row
-	EjectionLeft      float64 `json:"rest_left_ms,omitempty"`
+	EjectionRemaining float64 `json:"rest_left_ms,omitempty"`
 	Down              bool    `json:"down,omitempty"` // the last attempt could not connect
 	WarmingUp         bool    `json:"cold,omitempty"`
 	WarmUpAge         float64 `json:"cold_age_ms,omitempty"`
@@ -69,14 +69,14 @@
 // Rates describe how fast the fleet answered.
 type Rates struct {
 	Requests        float64          `json:"asked_per_s,omitempty"`
-	Answers         float64          `json:"answered_per_s,omitempty"` // of servers
+	Responses       float64          `json:"answered_per_s,omitempty"` // of servers
 	MinLatencyRatio float64          `json:"quickest,omitempty"`       // lowest mean latency, as a part of its objective
 	Classes         map[string]Class `json:"classes,omitempty"`
 }
 
 // Class is the latency of a class of requests.
 type Class struct {
-	Answers   float64 `json:"answers"` // number of answers in Mean
+	Responses float64 `json:"answers"` // number of answers in Mean
 	Mean      float64 `json:"mean_ms"`
 	Deviation float64 `json:"dev_ms"` // mean deviation
 }
@@ -144,15 +144,15 @@
 
 func (s *Server) valid() bool {
 	return finite(s.Size) && s.ConsecutiveErrors >= 0 && s.Ejections >= 0 &&
-		validAmounts(s.ErrorAge, s.EjectionLeft, s.WarmUpAge)
+		validAmounts(s.ErrorAge, s.EjectionRemaining, s.WarmUpAge)
 }
 
 func (r *Rates) validate() error {
-	if !validAmounts(r.Requests, r.Answers, r.MinLatencyRatio) {
+	if !validAmounts(r.Requests, r.Responses, r.MinLatencyRatio) {
 		return errors.New("learned.rates: a figure cannot be")
 	}
 	for name, class := range r.Classes {
-		if !validAmounts(class.Answers, class.Mean, class.Deviation) {
+		if !validAmounts(class.Responses, class.Mean, class.Deviation) {
 			return fmt.Errorf("learned.rates.classes[%q]: a figure cannot be", name)
 		}
 	}
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -46,7 +46,7 @@
 	// ErrClosed says that the store was closed.
 	ErrClosed = errors.New("the store is closed")
 
-	errNotRegular = errors.New("it is no regular file")
+	errNotRegularFile = errors.New("it is no regular file")
 )
 
 // Options configure a store.
@@ -79,9 +79,9 @@
 	closed bool
 	lock   fsys.Lock // nil: not held
 	// scanned says that newest and seqs describe the folder. That needs the lock: without it another process may write.
-	scanned bool
-	newest  int       // generation that holds the newest sound state and must not be written, or noGeneration
-	seqs    [2]uint64 // sequence number of each generation, as far as its header can be read
+	scanned          bool
+	newestGeneration int       // generation that holds the newest sound state and must not be written, or noGeneration
+	seqs             [2]uint64 // sequence number of each generation, as far as its header can be read
 }
 
 // Open opens a state folder and creates it if its parent exists. The store is returned in any case and can Load. The
@@ -94,7 +94,7 @@
 	if options.User == CurrentUser {
 		options.User = os.Geteuid()
 	}
-	s := &Store{dir: filepath.Clean(dir), options: options, files: options.FS, newest: noGeneration}
+	s := &Store{dir: filepath.Clean(dir), options: options, files: options.FS, newestGeneration: noGeneration}
 	if s.files == nil {
 		s.files = fsys.OS{}
 	}
@@ -166,14 +166,14 @@
 func (s *Store) Load() (*Snapshot, []FileError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.scan()
+	return s.scanGenerations()
 }
 
-// scan reads both generations and notes which is the newest sound one. The caller holds s.mu.
-func (s *Store) scan() (*Snapshot, []FileError) {
+// scanGenerations reads both generations and notes which is the newest sound one. The caller holds s.mu.
+func (s *Store) scanGenerations() (*Snapshot, []FileError) {
 	var newest *Snapshot
 	var unused []FileError
-	s.newest, s.seqs = noGeneration, [2]uint64{}
+	s.newestGeneration, s.seqs = noGeneration, [2]uint64{}
 	for i, name := range generations {
 		state, seq, err := s.readState(s.path(name))
 		s.seqs[i] = seq
@@ -182,7 +182,7 @@
 		case err != nil:
 			unused = append(unused, FileError{File: s.path(name), Err: err})
 		case newest == nil || state.Seq > newest.Seq:
-			newest, s.newest = state, i
+			newest, s.newestGeneration = state, i
 		}
 	}
 	s.scanned = s.lock != nil
@@ -222,7 +222,7 @@
 	if err != nil {
 		return nil, withoutPath(err)
 	}
-	if err := checkInfo(info, maxBytes, user); err != nil {
+	if err := checkReadable(info, maxBytes, user); err != nil {
 		return nil, err
 	}
 	content := bytes.NewBuffer(make([]byte, 0, info.Size+bytes.MinRead))
@@ -232,18 +232,18 @@
 	return content.Bytes(), nil
 }
 
-// writableByOthers are the permission bits that let other users write a file.
-const writableByOthers fs.FileMode = 0o022
+// othersWriteMask are the permission bits that let other users write a file.
+const othersWriteMask fs.FileMode = 0o022
 
-// checkInfo says why a file must not be read, if so.
-func checkInfo(info fsys.Info, maxBytes int64, user int) error {
+// checkReadable says why a file must not be read, if so.
+func checkReadable(info fsys.Info, maxBytes int64, user int) error {
 	permissions := info.Mode.Perm()
 	switch {
 	case !info.Mode.IsRegular():
-		return errNotRegular
+		return errNotRegularFile
 	case user >= 0 && info.Owner != user:
 		return fmt.Errorf("%w: it belongs to user %d, this process to %d", ErrForeign, info.Owner, user)
-	case user >= 0 && permissions&writableByOthers != 0:
+	case user >= 0 && permissions&othersWriteMask != 0:
 		return fmt.Errorf("%w: other users may write it (mode %v)", ErrForeign, permissions)
 	}
 	return checkSize(info.Size, maxBytes)
@@ -285,7 +285,7 @@
 		return err
 	}
 	if !s.scanned {
-		s.scan()
+		s.scanGenerations()
 	}
 	state.Seq, state.Identity = max(s.seqs[0], s.seqs[1])+1, s.options.Identity
 	content, err := Encode(state)
@@ -314,15 +314,15 @@
 	if err := s.files.SyncDir(s.dir); err != nil {
 		return err // s.newest stays: the next Save writes the same generation again
 	}
-	s.newest = generation
+	s.newestGeneration = generation
 	return nil
 }
 
 // nextGeneration is the one that the next Save replaces: never the newest sound one. If neither is sound, it is the one
 // of the lower sequence number.
 func (s *Store) nextGeneration() int {
-	if s.newest != noGeneration {
-		return 1 - s.newest
+	if s.newestGeneration != noGeneration {
+		return 1 - s.newestGeneration
 	}
 	if s.seqs[1] < s.seqs[0] {
 		return 1
--- a/internal/statekey/statekey.go
+++ b/internal/statekey/statekey.go
@@ -11,8 +11,8 @@
 	return key
 }
 
-// Bit is a boolean as an integer of a key: 1 or 0.
-func Bit(b bool) int64 {
+// BoolInt is a boolean as an integer of a key: 1 or 0.
+func BoolInt(b bool) int64 {
 	if b {
 		return 1
 	}
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -31,7 +31,7 @@
 func isDuration(target reflect.Type, key string) bool {
 	for part := range strings.SplitSeq(key, ".") {
 		name, _, _ := strings.Cut(part, "[")
-		field, ok := fieldOf(elementType(target), name)
+		field, ok := fieldForKey(elementType(target), name)
 		if !ok {
 			return false
 		}
@@ -51,8 +51,8 @@
 	return t
 }
 
-// fieldOf finds the field of a struct that a key is decoded into: by its tag, or by its name if it has none.
-func fieldOf(t reflect.Type, key string) (field reflect.StructField, ok bool) {
+// fieldForKey finds the field of a struct that a key is decoded into: by its tag, or by its name if it has none.
+func fieldForKey(t reflect.Type, key string) (field reflect.StructField, ok bool) {
 	if t.Kind() != reflect.Struct {
 		return reflect.StructField{}, false
 	}
--- a/internal/tomlfile/index.go
+++ b/internal/tomlfile/index.go
@@ -52,14 +52,14 @@
 	parser.Reset(text)
 	for parser.NextExpression() {
 		expression := parser.Expression()
-		key, line := keyOf(&parser, expression)
-		x.add(expression, key, line)
+		key, line := dottedKey(&parser, expression)
+		x.addExpression(expression, key, line)
 	}
 	return x.index, x.numericKeys
 }
 
-// keyOf returns the key of an expression, with dots, and its line.
-func keyOf(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
+// dottedKey returns the key of an expression, with dots, and its line.
+func dottedKey(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
 	var parts []string
 	for it := expression.Key(); it.Next(); {
 		part := it.Node()
@@ -71,8 +71,8 @@
 	return strings.Join(parts, "."), line
 }
 
-// add enters a table or a key with its value.
-func (x *indexer) add(expression *unstable.Node, key string, line int) {
+// addExpression enters a table or a key with its value.
+func (x *indexer) addExpression(expression *unstable.Node, key string, line int) {
 	switch expression.Kind {
 	case unstable.Table:
 		x.table = key
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -17,22 +17,22 @@
 	"testing"
 )
 
-// root is the folder of the module.
-const root = "../.."
+// moduleRoot is the folder of the module.
+const moduleRoot = "../.."
 
-// folders hold the source of the programs. The lab, which is none of them, is in skippedFolder.
-var folders = []string{"balance", "cmd", "internal"}
+// sourceFolders hold the source of the programs. The lab, which is none of them, is in skippedFolder.
+var sourceFolders = []string{"balance", "cmd", "internal"}
 
 const skippedFolder = "internal/lab"
 
-// methods read the wall clock part of a time.Time, or remove its monotonic part. They are matched by name alone, so that
-// methods of other types are found as well.
-var methods = []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Round", "Truncate", "Format", "AppendFormat",
+// wallClockMethods read the wall clock part of a time.Time, or remove its monotonic part. They are matched by name alone, so that
+// wallClockMethods of other types are found as well.
+var wallClockMethods = []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Round", "Truncate", "Format", "AppendFormat",
 	"Date", "AddDate", "UTC", "Local", "In", "ModTime", "Now", "Gettimeofday", "ClockGettime"}
 
-// timeFunctions are those of package time that return a time without a monotonic part. time.Now returns one with it; a use
+// wallTimeFunctions are those of package time that return a time without a monotonic part. time.Now returns one with it; a use
 // of its wall clock part is found by one of the methods.
-var timeFunctions = []string{"Unix", "UnixMilli", "UnixMicro", "Date", "Parse", "ParseInLocation"}
+var wallTimeFunctions = []string{"Unix", "UnixMilli", "UnixMicro", "Date", "Parse", "ParseInLocation"}
 
 // clockRead is an expression of a file that reads the wall clock.
 type clockRead struct{ file, expression string }
@@ -70,9 +70,9 @@
 		"q.Now": {2, "a field: the leader's monotonic clock"},
 	},
 	"internal/fault/fault.go": {
-		"info.ModTime":       {1, "is compared for equality alone, and files are told apart by their inode, too"},
-		"p.readInfo.ModTime": {1, "is compared for equality alone, and files are told apart by their inode, too"},
-		"time.Now().Round":   {1, "is the clock that the lab steps; who asks for it is listed"},
+		"info.ModTime":        {1, "is compared for equality alone, and files are told apart by their inode, too"},
+		"in.readInfo.ModTime": {1, "is compared for equality alone, and files are told apart by their inode, too"},
+		"time.Now().Round":    {1, "is the clock that the lab steps; who asks for it is listed"},
 	},
 	"internal/membership/config.go": {
 		"time.Now().UnixMilli": {1, "a member's start; one below another of its name is raised, see docs/membership.md"},
@@ -148,8 +148,8 @@
 
 func TestWallClockReads(t *testing.T) {
 	found := map[clockRead]int{}
-	for _, folder := range folders {
-		if err := countReads(filepath.Join(root, folder), found); err != nil {
+	for _, folder := range sourceFolders {
+		if err := countReads(filepath.Join(moduleRoot, folder), found); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -180,7 +180,7 @@
 		if err != nil {
 			return err
 		}
-		name := filepath.ToSlash(strings.TrimPrefix(path, root+string(filepath.Separator)))
+		name := filepath.ToSlash(strings.TrimPrefix(path, moduleRoot+string(filepath.Separator)))
 		if entry.IsDir() {
 			if name == skippedFolder || entry.Name() == "testdata" {
 				return filepath.SkipDir
@@ -233,9 +233,9 @@
 // readsWallClock reports whether a selector names one of timeFunctions or methods.
 func readsWallClock(selector *ast.SelectorExpr) bool {
 	if operand, ok := selector.X.(*ast.Ident); ok && operand.Name == "time" {
-		return slices.Contains(timeFunctions, selector.Sel.Name)
+		return slices.Contains(wallTimeFunctions, selector.Sel.Name)
 	}
-	return slices.Contains(methods, selector.Sel.Name)
+	return slices.Contains(wallClockMethods, selector.Sel.Name)
 }
 
 // sourceText is a node as it stands in the source.
