--- a/cmd/marblelane/registry_test.go
+++ b/cmd/marblelane/registry_test.go
@@ -139,14 +139,14 @@
 func TestRegistryServe_invalidConfig(t *testing.T) {
 	good := "name = \"a\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\n"
 	for name, c := range map[string]struct{ text, says string }{
-		"unknown key":  {good + "bat = 1\n", "c.toml:4: bat: there is no such key"},
+		"unknown key":  {good + "bat = 1\n", "c.toml:4: bat: unknown key"},
 		"no unit":      {good + "beat = \"5\"\n", "c.toml:4: beat:"},
 		"no name":      {"listen = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\n", "name: is missing"},
 		"not a peer":   {good + "[[peer]]\nname = \"b\"\nraft = \"x:1\"\nserve = \"x:2\"\n", `"a" is not among the peers`},
 		"share":        {good + "hold_share = 2.0\n", "hold_share: is not between 0 and 1"},
 		"operators":    {good + "routes = \"none.toml\"\n", "c.toml: routes: operators' file: "},
 		"members":      {good + "[members]\nfleet = \"f\"\nbind = \"x\"\n", "c.toml: members.bind: "},
-		"members' key": {good + "[members]\nbnd = \"x\"\n", "c.toml:5: members.bnd: there is no such key"},
+		"members' key": {good + "[members]\nbnd = \"x\"\n", "c.toml:5: members.bnd: unknown key"},
 		"defect":       {good + "lab_route_defect = \"x\"\n", `lab_route_defect: "x" is not one of [grant-unkept`},
 		"join and all": {good + "join = true\n[[peer]]\nname = \"a\"\nraft = \"x:1\"\nserve = \"x:2\"\n", "join:"},
 	} {
--- a/cmd/marblelane/state.go
+++ b/cmd/marblelane/state.go
@@ -29,7 +29,7 @@
 
 // findingText describes what is wrong with a file.
 func findingText(f snapshot.Finding) string {
-	if errors.Is(f.Err, snapshot.ErrNewer) {
+	if errors.Is(f.Err, snapshot.ErrNewerVersion) {
 		return fmt.Sprintf("%s: refused: %v", f.File, f.Err)
 	}
 	return fmt.Sprintf("%s: unsound: %v", f.File, f.Err)
--- a/cmd/marblelane/state_test.go
+++ b/cmd/marblelane/state_test.go
@@ -28,7 +28,7 @@
 		errOut.Reset()
 		return (&stateShow{stateFiles{Path: path, MaxBytes: snapshot.DefaultMaxBytes}}).Run(a)
 	}
-	require.ErrorContains(t, verify(dir), dir+": there is none in this folder")
+	require.ErrorContains(t, verify(dir), dir+": no state file in this folder")
 	require.ErrorIs(t, verify(filepath.Join(dir, "x")), os.ErrNotExist)
 	st, err := snapshot.Open(dir, snapshot.Options{Identity: snapshot.Identity{Site: "stock", Name: "one"}})
 	require.NoError(t, err)
@@ -55,7 +55,7 @@
 	b[60] ^= 4
 	require.NoError(t, os.WriteFile(newer, b, 0o600))
 	require.Equal(t, exitError(exitFail), verify(dir))
-	assert.Contains(t, out.String(), newer+`: unsound: at byte 36, in section 0 ("head"): the checksum is not its own`)
+	assert.Contains(t, out.String(), newer+`: unsound: at byte 36, in section 0 ("head"): checksum mismatch`)
 	assert.Contains(t, out.String(), older+": sound")
 	require.Equal(t, exitError(exitFail), show(dir), "the older one, and that the newer is not sound")
 	assert.Contains(t, errOut.String(), newer+": unsound")
--- a/internal/fault/errno.go
+++ b/internal/fault/errno.go
@@ -6,10 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// errnoLimit is above the number of each errno of Linux (errno(3)).
+// errnoLimit is greater than every errno of Linux (errno(3)).
 const errnoLimit = 134
 
-// Errno returns the error number of a name such as "ENOBUFS"; ok is false if the system has none of that name.
+// Errno returns the error number for a name such as "ENOBUFS". ok is false if the system does not define the name.
 func Errno(name string) (errno syscall.Errno, ok bool) {
 	for errno = 1; errno < errnoLimit; errno++ {
 		if unix.ErrnoName(errno) == name {
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,11 +1,12 @@
-// Package fault injects faults into a process that the lab cannot cause from outside: a wall clock that is stepped, a
-// disk that is slow, a sync that fails, a system call that fails.
+// Package fault injects faults into a process that the lab cannot cause from outside: a stepped wall clock, a slow
+// disk, a failing sync or a failing system call.
 //
-// A configuration key that only the lab sets names a file of faults. Without it there is no Plan, and a nil Plan injects
-// nothing. The file may be replaced at any time; its content applies from the next call of the Plan on.
+// A configuration key that only the lab sets names the fault file. Without the key there is no Injector, and a nil
+// Injector injects nothing. The fault file may be replaced at any time. Its content applies from the next call of the
+// Injector on.
 //
-// The machine's own clock and disk cannot serve: a step of the clock would reach every process of the machine, and a slow
-// or failing device needs rights that a user of the lab does not have.
+// Faults of the machine's own clock and disk are no alternative: a step of its clock affects every process of the
+// machine, and a slow or failing device needs privileges that a user of the lab does not have.
 package fault
 
 import (
@@ -21,17 +22,17 @@
 	"marblelane/internal/tomlfile"
 )
 
-// SyncFault is how the sync of a write goes wrong. The empty string is no fault.
+// SyncFault is the kind of failure of the sync of a write. The empty string is no fault.
 type SyncFault string
 
-// The faults of a sync, as the file of faults writes them.
+// Values of SyncFault in the fault file.
 const (
-	SyncErrorPersisted SyncFault = "kept"    // it fails, although the write is on the disk
-	SyncErrorLost      SyncFault = "lost"    // it fails, and the write is not on the disk
-	SyncSilentLoss     SyncFault = "unheard" // as SyncErrorLost, but the process is to go on as if it had succeeded
+	SyncErrorPersisted SyncFault = "kept"    // the sync fails, but the write is on the disk
+	SyncErrorLost      SyncFault = "lost"    // the sync fails, and the write is not on the disk
+	SyncSilentLoss     SyncFault = "unheard" // as SyncErrorLost, but the process continues as if the sync had succeeded
 )
 
-// valid reports whether a file of faults may have this value.
+// valid reports whether the value is allowed in a fault file.
 func (f SyncFault) valid() bool {
 	switch f {
 	case "", SyncErrorPersisted, SyncErrorLost, SyncSilentLoss:
@@ -40,79 +41,79 @@
 	return false
 }
 
-// ErrSync is the error of a sync that fails by plan.
-var ErrSync = errors.New("planted: the disk does not sync")
+// ErrSync is the error of an injected sync failure.
+var ErrSync = errors.New("injected fault: disk sync failed")
 
-// The system calls that a process asks a Plan for. Not every program asks for all of them.
+// Names of the system calls that can fail. Not every program makes all of them through an Injector.
 const (
 	CallAccept = "accept"
 	CallOpen   = "open"
-	CallWrite  = "write" // by Plan.DiskWrite: the write fails, and nothing of it is on the disk
+	CallWrite  = "write" // injected by DiskWrite: the write fails, and none of it is on the disk
 )
 
-// Config is the content of a file of faults. Durations have a unit.
+// Config is the content of a fault file. Durations in the file have a unit.
 type Config struct {
-	ClockStep tomlfile.Duration `toml:"clock"` // added to the wall clock; may be negative
-	DiskDelay tomlfile.Duration `toml:"disk"`  // delays each write
+	ClockStep tomlfile.Duration `toml:"clock"` // offset added to the wall clock; may be negative
+	DiskDelay tomlfile.Duration `toml:"disk"`  // delay of each write
 	SyncFault SyncFault         `toml:"sync"`
-	// Calls are the system calls that fail, each with the name of its errno: accept = "ENOBUFS".
+	// Calls maps each system call that fails to the name of its errno: accept = "ENOBUFS".
 	Calls map[string]string `toml:"calls"`
 }
 
-// NewConfig returns a set with faults of the clock and the disk.
+// NewConfig returns a configuration with faults of the clock and the disk.
 func NewConfig(clock, disk time.Duration, sync SyncFault) Config {
 	return Config{ClockStep: tomlfile.Duration(clock), DiskDelay: tomlfile.Duration(disk), SyncFault: sync}
 }
 
-// Write replaces the file of faults at a path atomically.
+// Write atomically replaces the fault file at a path.
 func (s Config) Write(path string) error {
 	text, err := toml.Marshal(s)
 	if err != nil {
-		return fmt.Errorf("faults: %w", err)
+		return fmt.Errorf("encode fault file: %w", err)
 	}
 	temp := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
 	if err := os.WriteFile(temp, text, 0o644); err != nil {
-		return fmt.Errorf("faults: %w", err)
+		return fmt.Errorf("write fault file: %w", err)
 	}
 	if err := os.Rename(temp, path); err != nil {
-		return fmt.Errorf("faults: %w", err)
+		return fmt.Errorf("replace fault file: %w", err)
 	}
 	return nil
 }
 
-// readConfig reads and checks a file of faults.
+// readConfig reads and validates a fault file.
 func readConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, fmt.Errorf("faults: %w", err)
+		return Config{}, fmt.Errorf("read fault file: %w", err)
 	}
 	var config Config
 	if _, err := tomlfile.Decode(path, text, &config); err != nil {
-		return Config{}, fmt.Errorf("faults %w", err)
+		return Config{}, fmt.Errorf("read fault file: %w", err)
 	}
 	if !config.SyncFault.valid() {
-		return Config{}, fmt.Errorf("faults %s: sync: %q is none of %s, %s, %s", path, config.SyncFault,
+		return Config{}, fmt.Errorf("read fault file %s: sync: %q is not one of %s, %s, %s", path, config.SyncFault,
 			SyncErrorPersisted, SyncErrorLost, SyncSilentLoss)
 	}
 	for call, name := range config.Calls {
 		if _, ok := Errno(name); !ok {
-			return Config{}, fmt.Errorf("faults %s: calls.%s: %q is no errno", path, call, name)
+			return Config{}, fmt.Errorf("read fault file %s: calls.%s: unknown errno %q", path, call, name)
 		}
 	}
 	return config, nil
 }
 
-// Injector is a file of faults as the process that it is for reads it. A nil Injector injects nothing. It is safe for concurrent
+// Injector injects the faults of a fault file into a process. A nil Injector injects nothing. It is safe for concurrent
 // use.
 type Injector struct {
 	path string
 
 	mu       sync.Mutex  // guards the fields below
-	readInfo os.FileInfo // of the file that set was read from; nil: there was none
+	readInfo os.FileInfo // describes the file that config was read from; nil if there was none
 	config   Config
 }
 
-// Open reads a file of faults; without a path there is no plan. A file that does not exist yet injects nothing.
+// Open returns an Injector for a fault file, or nil if the path is empty. A file that does not exist injects no faults.
 func Open(path string) (*Injector, error) {
 	if path == "" {
 		return nil, nil
@@ -124,7 +125,8 @@
 	return in, nil
 }
 
-// reload reads the file again if it has been replaced. With an error it returns the set that was read before.
+// reload reads the fault file again if it has been replaced. It returns the current configuration. If the file cannot
+// be read, that is the previous one, and reload returns an error too.
 func (in *Injector) reload() (Config, error) {
 	if in == nil {
 		return Config{}, nil
@@ -137,7 +139,7 @@
 		return in.config, nil
 	}
 	if err != nil {
-		return in.config, fmt.Errorf("faults: %w", err)
+		return in.config, fmt.Errorf("stat fault file: %w", err)
 	}
 	if in.readInfo != nil && os.SameFile(info, in.readInfo) && info.ModTime().Equal(in.readInfo.ModTime()) {
 		return in.config, nil
@@ -150,19 +152,20 @@
 	return in.config, nil
 }
 
-// currentConfig returns the faults of this moment. If the file cannot be read, the previous ones apply.
+// currentConfig returns the configuration that applies now. If the file cannot be read, it is the previous one.
 func (in *Injector) currentConfig() Config {
-	set, _ := in.reload()
-	return set
+	config, _ := in.reload()
+	return config
 }
 
-// Now returns the wall clock, stepped by the plan. It has no monotonic part: elapsed times are measured by package time.
+// Now returns the wall clock time plus ClockStep. The result has no monotonic part: elapsed times are measured with
+// package time.
 func (in *Injector) Now() time.Time {
 	return time.Now().Round(0).Add(time.Duration(in.currentConfig().ClockStep))
 }
 
-// DiskWrite carries out a write under the faults of the disk. write is called with the error with which it has to undo
-// its changes, or with nil. If silent is true, the caller is to ignore the error.
+// DiskWrite calls write with the injected disk faults applied. If undo is not nil, write has to undo its changes and
+// fail with that error. If silent is true, the caller has to ignore the error.
 func (in *Injector) DiskWrite(write func(undo error) error) (silent bool, err error) {
 	config := in.currentConfig()
 	if config.DiskDelay > 0 {
@@ -182,13 +185,13 @@
 	return false, write(nil)
 }
 
-// CallError returns the planned error of a system call, which is not to be made then, or nil if it is to be made. The error is
-// an *os.SyscallError, as from packages net and os.
+// CallError returns the injected error of a system call, or nil if the call does not fail. If it returns an error, the
+// caller must not make the system call. The error is an *os.SyscallError, as from packages net and os.
 func (in *Injector) CallError(name string) error {
 	errnoName, configured := in.currentConfig().Calls[name]
 	if !configured {
 		return nil
 	}
-	errno, _ := Errno(errnoName) // readSet has checked the name
+	errno, _ := Errno(errnoName) // readConfig has validated the name
 	return os.NewSyscallError(name, errno)
 }
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// clockTolerance bounds how long a test may take between two reads of the clock.
+// clockTolerance is the maximum time that a test may take between two reads of the clock.
 const clockTolerance = time.Second
 
-// openPlan opens the plan of a file that does not exist yet.
+// openPlan opens an Injector for a fault file that does not exist yet.
 func openPlan(t *testing.T) (plan *Injector, path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "faults.toml")
@@ -24,10 +24,11 @@
 	return plan, path
 }
 
+// checkClock checks that the injected clock differs from the real one by step.
 func checkClock(t *testing.T, plan *Injector, step time.Duration) {
 	t.Helper()
 	if off := time.Until(plan.Now()) - step; off > clockTolerance || off < -clockTolerance {
-		t.Errorf("the clock is off by %v, want %v", off+step, step)
+		t.Errorf("clock is off by %v, want %v", off+step, step)
 	}
 }
 
@@ -38,7 +39,7 @@
 			undo := errors.New("not called")
 			silent, err := plan.DiskWrite(func(e error) error { undo = e; return nil })
 			if silent || err != nil || undo != nil {
-				t.Errorf("silent %v, error %v, undo %v, want none", silent, err, undo)
+				t.Errorf("silent %v, error %v, undo %v, want no fault", silent, err, undo)
 			}
 			checkClock(t, plan, 0)
 		})
@@ -51,7 +52,7 @@
 		name                 string
 		set                  Config
 		undone, silent, fail bool
-		step                 time.Duration // of the clock
+		step                 time.Duration // of the wall clock
 	}{
 		{name: "write on the disk", set: NewConfig(-time.Hour, 0, SyncErrorPersisted), fail: true, step: -time.Hour},
 		{
@@ -74,7 +75,7 @@
 				t.Errorf("undo %v, silent %v, error %v", undo, silent, err)
 			}
 			if delay := time.Duration(test.set.DiskDelay); elapsed < delay {
-				t.Errorf("the write took %v, want %v at least", elapsed, delay)
+				t.Errorf("write took %v, want at least %v", elapsed, delay)
 			}
 			checkClock(t, plan, test.step)
 		})
@@ -103,7 +104,7 @@
 func TestPlan_call(t *testing.T) {
 	plan, path := openPlan(t)
 	if err := plan.CallError(CallAccept); err != nil {
-		t.Errorf("nothing is planned: %v", err)
+		t.Errorf("accept without a fault file: %v", err)
 	}
 	if err := (Config{Calls: map[string]string{CallAccept: "ENOBUFS"}}).Write(path); err != nil {
 		t.Fatal(err)
--- a/internal/fsys/fsys.go
+++ b/internal/fsys/fsys.go
@@ -1,5 +1,5 @@
-// Package fsys is the part of a file system that durable state needs, as an interface, so that tests can replace the
-// operating system's files by a simulated disk (internal/testutil/disk).
+// Package fsys defines the file system operations that durable state needs as an interface, so that tests can replace
+// the operating system's files with a simulated disk (internal/testutil/disk).
 package fsys
 
 import (
@@ -8,29 +8,29 @@
 	"io/fs"
 )
 
-// ErrLocked says that another process holds the lock.
+// ErrLocked reports that another process holds the lock.
 var ErrLocked = errors.New("held by another process")
 
-// FS is a file system. Names are paths, and errors name them.
+// FS is a file system. Names are paths, and errors contain them.
 type FS interface {
-	// Open opens a file for reading. It follows no symbolic link and does not block, not even on a pipe without a writer.
+	// Open opens a file for reading. It does not follow symbolic links, and does not block on a pipe without a writer.
 	Open(name string) (File, error)
-	// Create creates a file that its owner alone may read and write. It fails if the name exists.
+	// Create creates a file that only its owner may read and write. It fails if the name exists.
 	Create(name string) (File, error)
-	// Rename renames a file within its folder and replaces a file that has the new name.
+	// Rename renames a file within its folder. It replaces an existing file of the new name.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(name string) error
-	// Mkdir creates a folder for its owner alone.
+	// Mkdir creates a folder that only its owner may access.
 	Mkdir(name string) error
 	// SyncDir makes the names in a folder durable.
 	SyncDir(name string) error
-	// Lock locks a file, which it creates if there is none, or returns ErrLocked. The lock ends with the process at the
-	// latest.
+	// Lock locks a file, and creates the file if it does not exist. It returns ErrLocked if another process holds the
+	// lock. The lock is released by Lock.Close, or when the process ends.
 	Lock(name string) (Lock, error)
 }
 
-// File is an open file. Sync makes its content durable; SyncDir does so for its name.
+// File is an open file. Sync makes its content durable. FS.SyncDir makes its name durable.
 type File interface {
 	io.ReadWriteCloser
 	Sync() error
@@ -41,10 +41,10 @@
 type Info struct {
 	Size  int64 // bytes
 	Mode  fs.FileMode
-	Owner int // number of its user; UnknownOwner: the system does not say
+	Owner int // user ID, or UnknownOwner
 }
 
-// UnknownOwner is the owner of a file whose system has no users.
+// UnknownOwner is the owner of a file on a system that does not report file owners.
 const UnknownOwner = -1
 
 // Lock is a lock that this process holds.
--- a/internal/fsys/os.go
+++ b/internal/fsys/os.go
@@ -10,12 +10,13 @@
 // OS is the operating system's file system.
 type OS struct{}
 
-// Permissions for the owner alone.
+// Permissions that grant access only to the owner.
 const (
 	ownerFile   = 0o600
 	ownerFolder = 0o700
 )
 
+// osFile implements File.
 type osFile struct{ *os.File }
 
 // Stat implements File.
@@ -39,6 +40,7 @@
 // Create implements FS.
 func (OS) Create(name string) (File, error) { return open(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL) }
 
+// open opens a file with flags of os.OpenFile.
 func open(name string, flags int) (File, error) {
 	f, err := os.OpenFile(name, flags, ownerFile)
 	if err != nil {
@@ -65,9 +67,10 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
+// osLock implements Lock with the locked file.
 type osLock struct{ *os.File }
 
-// Lock implements FS by flock(2), which the system releases when the process ends, however it ends.
+// Lock implements FS with flock(2). The system releases the lock when the process ends, even if it is killed.
 func (OS) Lock(name string) (Lock, error) {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE|syscall.O_NOFOLLOW, ownerFile)
 	if err != nil {
@@ -90,8 +93,8 @@
 	return lockedErr == nil && namedErr == nil && os.SameFile(locked, named)
 }
 
-// Close implements Lock. It unlocks explicitly: a child process that is being started shares the open file, and thus the
-// lock, until it executes its program.
+// Close implements Lock. It unlocks explicitly, because a child process that is being started shares the open file, and
+// thus the lock, until it executes its program.
 func (l osLock) Close() error {
 	return errors.Join(syscall.Flock(int(l.Fd()), syscall.LOCK_UN), l.File.Close())
 }
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,7 +1,7 @@
-// Package listener keeps a listening socket in service while accept fails.
+// Package listener keeps a listening socket in service when accept fails.
 //
-// net/http ends its server after any error of Accept that is not temporary. ENOBUFS and EPROTO are not, so that a
-// transient failure would end the process.
+// net/http stops its server after any error of Accept that is not temporary. It does not treat ENOBUFS and EPROTO as
+// temporary, so that such a transient failure would end the process.
 package listener
 
 import (
@@ -26,14 +26,14 @@
 	closed    chan struct{} // closed by Close
 	closeOnce sync.Once
 
-	lastFailure atomic.Pointer[time.Time] // nil: no accept has failed
+	lastFailure atomic.Pointer[time.Time] // time of the last failed accept; nil if none has failed
 
 	mu         sync.Mutex // guards logLimiter, as Accept may be called concurrently
 	logLimiter retry.LogLimiter
 }
 
-// Wrap returns a listener that goes on accepting after failures. The name stands in logs and errors. A nil logger stands
-// for the default one.
+// Wrap returns a listener that continues to accept after failures. The name appears in logs and errors. If log is nil,
+// the listener uses slog.Default.
 func Wrap(inner net.Listener, name string, log *slog.Logger) *Listener {
 	if log == nil {
 		log = slog.Default()
@@ -41,9 +41,9 @@
 	return &Listener{Listener: inner, name: name, log: log, closed: make(chan struct{})}
 }
 
-// Accept waits for the next connection. After a failure it retries, with the pauses of retry.NewBackoff; the first
-// failure is logged, and later ones once each retry.LogInterval. After Close it returns net.ErrClosed, at once. EBADF and
-// EINVAL without a Close mean that the socket is lost, and are returned.
+// Accept waits for the next connection. After a failure it retries with the pauses of retry.NewBackoff. It logs the
+// first failure, and later ones at most once per retry.LogInterval. After Close it immediately returns net.ErrClosed.
+// EBADF and EINVAL without a Close mean that the socket is lost, and Accept returns them.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := retry.NewBackoff()
 	for {
@@ -54,7 +54,7 @@
 		case l.isClosed() || errors.Is(err, net.ErrClosed):
 			return nil, closedError(err)
 		case errors.Is(err, syscall.EBADF) || errors.Is(err, syscall.EINVAL):
-			return nil, fmt.Errorf("%s at %s: the listening socket is lost: %w", l.name, l.Addr(), err)
+			return nil, fmt.Errorf("accept on %s at %s: listening socket lost: %w", l.name, l.Addr(), err)
 		}
 		now := time.Now()
 		l.lastFailure.Store(&now)
@@ -66,14 +66,14 @@
 	}
 }
 
-// FailedWithin reports whether an accept has failed within the given time before now. A connection that is accepted then
-// may have waited in the queue.
+// FailedWithin reports whether an accept has failed within the given time before now. A connection that is accepted
+// soon after a failure may have waited in the accept queue.
 func (l *Listener) FailedWithin(window time.Duration) bool {
 	last := l.lastFailure.Load()
 	return last != nil && time.Since(*last) < window
 }
 
-// closedError returns the error of an accept that Close has ended, as one that is net.ErrClosed.
+// closedError returns the error of an accept that Close has ended. The result wraps net.ErrClosed.
 func closedError(err error) error {
 	if errors.Is(err, net.ErrClosed) {
 		return err
@@ -81,6 +81,7 @@
 	return errors.Join(net.ErrClosed, err)
 }
 
+// logFailure logs a failed accept, subject to the log limiter.
 func (l *Listener) logFailure(err error, pause time.Duration) {
 	l.mu.Lock()
 	ok, suppressed := l.logLimiter.Allow()
@@ -91,7 +92,7 @@
 	}
 }
 
-// sleep waits for a pause, and reports whether the listener is still open. It returns early at Close.
+// sleep waits for a pause and reports whether the listener is still open. It returns early if Close is called.
 func (l *Listener) sleep(pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -112,7 +113,7 @@
 	}
 }
 
-// Close closes the socket and ends Accept, even in a pause.
+// Close closes the socket and ends Accept, even during a pause.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -17,11 +17,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// failingListener is a listener whose accepts fail with given errnos, and then block until it is closed.
+// failingListener is a listener whose accepts fail with the given errnos in turn, and then block until it is closed.
 type failingListener struct {
 	mu        sync.Mutex      // guards accepts
-	errnos    []syscall.Errno // of the accepts in turn; 0 accepts a connection
-	accepts   int             // those that have returned one of errnos
+	errnos    []syscall.Errno // results of the accepts in turn; 0 accepts a connection
+	accepts   int             // number of accepts that have returned a result of errnos
 	closeOnce sync.Once
 	closed    chan struct{}
 }
@@ -55,7 +55,7 @@
 
 func (f *failingListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1} }
 
-// transientErrnos are the errors that accept(2) lists for Linux, without those of a lost socket.
+// transientErrnos are the errors that accept(2) lists for Linux, except those that mean that the socket is lost.
 var transientErrnos = []syscall.Errno{
 	unix.EAGAIN, unix.ECONNABORTED, unix.EFAULT, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM,
 	unix.ENOTSOCK, unix.EOPNOTSUPP, unix.EPERM, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
@@ -81,7 +81,7 @@
 	}
 }
 
-// An HTTP server goes on serving after transient errors of accept.
+// An HTTP server continues to serve after transient errors of accept.
 func TestAccept_httpServer(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -100,14 +100,14 @@
 	resp.Body.Close()
 	srv.Close()
 	if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
-		t.Errorf("the server ended with %v", err)
+		t.Errorf("server ended with %v, want http.ErrServerClosed", err)
 	}
 }
 
-// failFirstListener fails with each of its errnos before it accepts.
+// failFirstListener fails with each of its errnos in turn before it accepts connections.
 type failFirstListener struct {
 	net.Listener
-	errnos []syscall.Errno // of the next accepts
+	errnos []syscall.Errno // errors of the next accepts
 }
 
 func (f *failFirstListener) Accept() (net.Conn, error) {
@@ -131,7 +131,7 @@
 	}
 }
 
-// After Close any error of accept is net.ErrClosed.
+// After Close, Accept returns net.ErrClosed for any error of the socket.
 func TestAccept_afterClose(t *testing.T) {
 	for _, errno := range []syscall.Errno{unix.EBADF, unix.EINVAL, unix.ENOBUFS} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
@@ -156,7 +156,7 @@
 			_, err := l.Accept()
 			ended <- err
 		}()
-		synctest.Wait() // in its first pause
+		synctest.Wait() // until Accept is in its first pause
 		l.Close()
 		if err := <-ended; !errors.Is(err, net.ErrClosed) || time.Since(started) != 0 || inner.accepts != 1 {
 			t.Errorf("%v after %v and %d accepts, want net.ErrClosed at once", err, time.Since(started), inner.accepts)
@@ -164,7 +164,7 @@
 	})
 }
 
-// Pauses double from 5 to 100 ms, a success resets them, and the log has one line each 5 s.
+// Pauses double from 5 to 100 ms, a success resets them, and at most one failure per 5 s is logged.
 func TestAccept_pausesAndLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var errnos []syscall.Errno
@@ -190,7 +190,7 @@
 			}
 		}
 		if lines := strings.Count(text.String(), "\n"); lines != 3 {
-			t.Errorf("%d lines in 11.7 s, want one each 5 s:\n%s", lines, text.String())
+			t.Errorf("%d log lines in 11.7 s, want one per 5 s:\n%s", lines, text.String())
 		}
 	})
 }
--- a/internal/registry/operators/operators_test.go
+++ b/internal/registry/operators/operators_test.go
@@ -25,7 +25,7 @@
 		"remember = \"5s\"":                               "o.toml:1: remember: 5000 ms is less than two terms",
 		"behind_share = 1.5":                              "o.toml:1: behind_share: 1.5 is above 1",
 		"alpha = 1.0":                                     "alpha: 1 is not below 1",
-		"nonsense = 1":                                    "o.toml:1: nonsense: there is no such key",
+		"nonsense = 1":                                    "o.toml:1: nonsense: unknown key",
 		"[[tenant]]\nmax_share = 1.5":                     "o.toml:2: tenant[0].max_share: 1.5 is above 1",
 		"[[tenant]]\nname = \"x/y\"":                      `o.toml:2: tenant[0].name: "x/y" has a character of "/"`,
 		"[[tenant]]\nname = \"audit\"":                    `tenant[0].name: "audit" is reserved in paths`,
--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -1,4 +1,5 @@
-// Package retry repeats system calls after transient failures, with a backoff, and classifies the errors of system calls.
+// Package retry retries system calls after transient failures, with a backoff, and classifies the errors of system
+// calls.
 package retry
 
 import (
@@ -6,32 +7,33 @@
 	"time"
 )
 
-// The bounds of the default backoff.
+// Limits of the default backoff.
 const (
 	defaultMinPause = 5 * time.Millisecond
 	defaultMaxPause = 100 * time.Millisecond
 )
 
-// Backoff is the pause before each retry of a call: Min, doubled after each failure up to Max. It is for one goroutine.
+// Backoff computes the pause before each retry of a call: it starts at Min and doubles after each failure, up to Max.
+// It is not safe for concurrent use.
 type Backoff struct {
 	Min, Max time.Duration
-	next     time.Duration // zero: Min
+	next     time.Duration // next pause; 0 means Min
 }
 
-// NewBackoff returns a backoff of 5 ms that doubles to at most 100 ms.
+// NewBackoff returns a backoff that starts at 5 ms and doubles up to 100 ms.
 func NewBackoff() Backoff { return Backoff{Min: defaultMinPause, Max: defaultMaxPause} }
 
-// Next returns the pause after one more failure.
+// Next returns the pause after a failure, and increases the following pause.
 func (b *Backoff) Next() time.Duration {
 	pause := max(b.next, b.Min)
 	b.next = min(2*pause, b.Max)
 	return pause
 }
 
-// Reset starts again with Min, as after a success.
+// Reset restarts the backoff at Min. Call it after a success.
 func (b *Backoff) Reset() { b.next = 0 }
 
-// Sleep waits for the given time. If the context ends before, it returns the context's cause at once.
+// Sleep waits for the given time. If the context ends first, it immediately returns the context's cause.
 func Sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/retry/log_limiter.go
+++ b/internal/retry/log_limiter.go
@@ -5,13 +5,13 @@
 // LogInterval is the minimum time between two log lines about the same failing call.
 const LogInterval = 5 * time.Second
 
-// LogLimiter bounds how often a call that keeps failing is logged. It is for one goroutine.
+// LogLimiter limits how often a repeatedly failing call is logged. It is not safe for concurrent use.
 type LogLimiter struct {
-	lastLogged time.Time // zero: never
-	suppressed int       // failures since then
+	lastLogged time.Time // time of the last logged failure; zero if none
+	suppressed int       // number of failures since then that were not logged
 }
 
-// Allow reports whether a failure is to be logged, and how many failures were not logged since the last one that was.
+// Allow reports whether to log a failure, and the number of failures that were not logged since the last logged one.
 func (l *LogLimiter) Allow() (ok bool, suppressed int) {
 	now := time.Now()
 	if !l.lastLogged.IsZero() && now.Sub(l.lastLogged) < LogInterval {
--- a/internal/retry/start.go
+++ b/internal/retry/start.go
@@ -9,19 +9,21 @@
 	"time"
 )
 
-// StartLimit is how long the calls of a program's start are retried in all, from the first failure on.
+// StartLimit is the total time for which the calls of a program's start are retried, from the first failure on.
 const StartLimit = 5 * time.Second
 
-// StartRetrier retries the calls of one start of a program. All of them share StartLimit. It is safe for concurrent use.
+// StartRetrier retries the calls that a program makes at its start. All calls share StartLimit. It is safe for
+// concurrent use.
 type StartRetrier struct {
 	ctx context.Context
 	log *slog.Logger
 
 	mu       sync.Mutex // guards deadline
-	deadline time.Time  // zero: no call has failed yet
+	deadline time.Time  // zero if no call has failed yet
 }
 
-// NewStartRetrier returns a start that ends with its context. A nil logger stands for the default one.
+// NewStartRetrier returns a StartRetrier that stops retrying when the context ends. If log is nil, it uses
+// slog.Default.
 func NewStartRetrier(ctx context.Context, log *slog.Logger) *StartRetrier {
 	if log == nil {
 		log = slog.Default()
@@ -29,9 +31,9 @@
 	return &StartRetrier{ctx: ctx, log: log}
 }
 
-// Do makes a call, and retries it while its failure is transient and StartLimit has not passed. The first failure is
-// logged with the name of the call. Do returns the error of the last call; if the context ends in a pause, the context's
-// cause is joined to it.
+// Do makes a call, and retries it while its failure is transient and StartLimit has not passed. It logs the first
+// failure with the name of the call. It returns the error of the last call. If the context ends during a pause, the
+// error also wraps the context's cause.
 func (s *StartRetrier) Do(name string, call func() error) error {
 	backoff := NewBackoff()
 	for attempt := 1; ; attempt++ {
@@ -52,7 +54,7 @@
 	}
 }
 
-// remaining is how long calls may still be retried. The first call of it starts the limit.
+// remaining returns the time for which calls may still be retried. StartLimit starts with the first call of remaining.
 func (s *StartRetrier) remaining() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/retry/start_test.go
+++ b/internal/retry/start_test.go
@@ -14,6 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
+// newTestStart returns a StartRetrier that logs nothing.
 func newTestStart(t *testing.T) *StartRetrier {
 	t.Helper()
 	return NewStartRetrier(t.Context(), slog.New(slog.DiscardHandler))
@@ -63,7 +64,7 @@
 	}
 }
 
-// All calls of a start share one limit, which starts with the first failure.
+// All calls of a StartRetrier share one time limit, which starts with the first failure.
 func TestStart_sharedLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := newTestStart(t)
--- a/internal/snapshot/age.go
+++ b/internal/snapshot/age.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// AgingPolicy says how fast a state goes out of date.
+// AgingPolicy defines how a loaded state is discounted for the time since it was written.
 type AgingPolicy struct {
-	SizeHalfLife time.Duration // in which the weight of sizes halves
-	MaxSizeAge   time.Duration // beyond which sizes have no weight
-	MaxRateAge   time.Duration // beyond which rates are dropped
-	MaxErrorAge  time.Duration // beyond which errors are dropped
-	WarmUpTime   time.Duration // in which a server warms up
-	// ClockSlack is how far the wall clock may have gone back and the state still counts as just written.
+	SizeHalfLife time.Duration // time in which the weight of sizes halves
+	MaxSizeAge   time.Duration // age above which sizes have weight 0
+	MaxRateAge   time.Duration // age above which rates are dropped
+	MaxErrorAge  time.Duration // age above which errors are dropped
+	WarmUpTime   time.Duration // duration of a server's warm-up
+	// ClockSlack is the largest backward step of the wall clock at which a state still counts as just written.
 	ClockSlack time.Duration
 }
 
-// DefaultAgingPolicy suits a fleet whose servers are replaced within hours and whose faults last for seconds.
+// DefaultAgingPolicy returns a policy for a fleet whose servers are replaced within hours and whose faults last for
+// seconds.
 func DefaultAgingPolicy() AgingPolicy {
 	return AgingPolicy{
 		SizeHalfLife: time.Hour,
@@ -29,21 +30,21 @@
 	}
 }
 
-// Age is how old a state is.
+// Age is the age of a state when it is loaded.
 type Age struct {
-	Elapsed    time.Duration // since the state was written
-	Known      bool          // false: the wall clock has gone back
-	SizeWeight float64       // of the sizes, from 0 to 1
+	Elapsed    time.Duration // time since the state was written; 0 if Known is false
+	Known      bool          // false if the wall clock was stepped back by more than ClockSlack
+	SizeWeight float64       // factor for the sizes of the state, from 0 to 1
 }
 
-// unknownAgeWeight is the weight of sizes of unknown age: that after one half-life.
+// unknownAgeWeight is the weight of sizes of unknown age. It equals the weight after one half-life.
 const unknownAgeWeight = 0.5
 
-// AgedAt returns the state as it is now. Sizes decay towards those of unknown servers, rates and errors are dropped in
-// time, ejections and warm-ups go on, and the list grows older.
+// AgedAt returns the state adjusted to the given time, and its age. Sizes decay towards those of unknown servers, old
+// rates and errors are dropped, ejections and warm-ups continue, and the age of the list increases.
 //
-// If the wall clock has gone back, the age is unknown, and each value is taken on its careful side: sizes have half
-// their weight, there are no rates, and errors, ejections and warm-ups are as if no time had passed. These end within
+// If the wall clock was stepped back, the age is unknown and each value is adjusted conservatively: sizes have half
+// their weight, rates are dropped, and errors, ejections and warm-ups stay as if no time had passed. These end within
 // seconds, whereas a server that is overloaded while it warms up takes longer to recover.
 func (s *Snapshot) AgedAt(now time.Time, policy AgingPolicy) (*Snapshot, Age) {
 	age := policy.ageAfter(now.Sub(s.Written))
@@ -60,7 +61,7 @@
 	return &aged, age
 }
 
-// ageAfter returns the age of a state that the wall clock says was written so long ago.
+// ageAfter returns the age of a state for the time that has passed since its save by the wall clock.
 func (a AgingPolicy) ageAfter(elapsed time.Duration) Age {
 	switch {
 	case elapsed < -a.ClockSlack:
@@ -72,7 +73,8 @@
 	return Age{Elapsed: elapsed, Known: true, SizeWeight: math.Exp2(-elapsed.Seconds() / a.SizeHalfLife.Seconds())}
 }
 
-// aged returns the server as it is now. Ejections in a row are forgotten once the last is over and no error counts.
+// aged returns the server adjusted to the age of its state. The count of consecutive ejections is reset once the last
+// ejection is over and no error counts.
 func (s Server) aged(age Age, policy AgingPolicy) Server {
 	elapsed := milliseconds(age.Elapsed)
 	s.Size *= age.SizeWeight
@@ -94,9 +96,10 @@
 	return s
 }
 
+// milliseconds converts a duration to ms.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// scaled returns the sizes times a factor.
+// scaled returns a new map with the sizes multiplied by a factor, or nil for nil.
 func scaled(sizes map[string]float64, factor float64) map[string]float64 {
 	if sizes == nil {
 		return nil
--- a/internal/snapshot/age_test.go
+++ b/internal/snapshot/age_test.go
@@ -26,7 +26,7 @@
 	assert.Equal(t, state.Learned.Rates, aged.Learned.Rates)
 
 	server, aged, _ = agedBy(time.Hour)
-	assert.Equal(t, snapshot.Server{UID: "a", Size: 1}, server, "half the size, and no faults")
+	assert.Equal(t, snapshot.Server{UID: "a", Size: 1}, server, "the size is halved and faults are dropped")
 	assert.Equal(t, snapshot.Rates{}, aged.Learned.Rates)
 	assert.Equal(t, 2.25, aged.Learned.Kinds["big"])
 
@@ -35,7 +35,7 @@
 	assert.True(t, age.Known)
 
 	_, _, age = agedBy(-time.Second)
-	assert.Equal(t, snapshot.Age{Known: true, SizeWeight: 1}, age, "within the slack of the clock")
+	assert.Equal(t, snapshot.Age{Known: true, SizeWeight: 1}, age, "a backward step within ClockSlack")
 
 	server, aged, age = agedBy(-time.Hour)
 	assert.Equal(t, snapshot.Age{SizeWeight: 0.5}, age)
@@ -43,5 +43,5 @@
 	assert.Equal(t, state.Learned.Servers[0].EjectionRemaining, server.EjectionRemaining)
 	assert.Equal(t, state.Learned.Servers[0].WarmUpAge, server.WarmUpAge)
 	assert.Equal(t, snapshot.Rates{}, aged.Learned.Rates)
-	assert.Equal(t, 2.0, state.Learned.Servers[0].Size, "the state that was read is unchanged")
+	assert.Equal(t, 2.0, state.Learned.Servers[0].Size, "the loaded state is unchanged")
 }
--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -15,7 +15,7 @@
 	"marblelane/internal/testutil/disk"
 )
 
-// savingOps are the kinds of operations of a Save that may fail.
+// savingOps are the kinds of operations of Save that may fail.
 var savingOps = []disk.Kind{disk.Create, disk.Write, disk.Sync, disk.Rename, disk.SyncDir}
 
 func TestCrash_allImages(t *testing.T) {
@@ -23,14 +23,14 @@
 	images, err := crashcheck.CheckEveryCrash(func(d *disk.Disk) fsys.FS { return d })
 	require.NoError(t, err)
 	assert.Greater(t, images, 500)
-	t.Logf("%d different images", images)
+	t.Logf("checked %d different images", images)
 }
 
 func TestCrash_plantedDefects(t *testing.T) {
 	for wantErr, defect := range map[string]disk.FaultyFS{
-		"lost: seq 1 had returned ([/s": {NoFileSync: true},
-		"lost: seq 1 had returned ([])": {NoDirSync: true},
-		"a generation is damaged":       {LateSync: true},
+		"state lost: save of seq 1 had returned, unused files [/s": {NoFileSync: true},
+		"state lost: save of seq 1 had returned, unused files []":  {NoDirSync: true},
+		"damaged generation": {LateSync: true},
 	} {
 		images, err := crashcheck.CheckEveryCrash(func(d *disk.Disk) fsys.FS {
 			faulty := defect
@@ -38,11 +38,11 @@
 			return &faulty
 		})
 		require.ErrorContains(t, err, wantErr)
-		t.Logf("%+v: at image %d: %v", defect, images, err)
+		t.Logf("%+v: detected after %d images: %v", defect, images, err)
 	}
 }
 
-// A process created the folder and was killed before it synced the parent. The next process has to sync it.
+// If a process created the folder and was killed before it synced the parent, the next process syncs the parent.
 func TestCrash_unsyncedFolder(t *testing.T) {
 	d := disk.New(disk.Image{"/": nil})
 	require.NoError(t, d.Mkdir(crashcheck.Dir))
@@ -53,7 +53,7 @@
 	requireAllowed(t, d, crashcheck.AllowedStates{States: []*snapshot.Snapshot{state}, MinSeq: 1})
 }
 
-// requireAllowed checks all images that a loss of power may leave now.
+// requireAllowed checks all images that a loss of power at this point may leave.
 func requireAllowed(t *testing.T, d *disk.Disk, allowed crashcheck.AllowedStates) {
 	t.Helper()
 	for image := range d.CrashImages(d.OpCount()) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// An operation fails once, or each operation after it fails too.
+// An operation of Save fails, either alone or with all operations after it.
 func TestSave_diskFails(t *testing.T) {
 	for _, failure := range []error{syscall.EROFS, fs.ErrPermission, syscall.EIO, syscall.ENOENT} {
 		for _, kind := range savingOps {
@@ -97,7 +97,7 @@
 	}
 }
 
-// An operation fails for several Saves. Each leaves a sound state, and the first Save after the fault succeeds.
+// An operation fails in several Saves. After each a valid state remains, and the first Save after the fault succeeds.
 func TestSave_diskRecovers(t *testing.T) {
 	t.Parallel()
 	for _, failure := range []error{syscall.ENOSPC, syscall.EIO} {
--- a/internal/snapshot/crashcheck/random.go
+++ b/internal/snapshot/crashcheck/random.go
@@ -12,11 +12,12 @@
 	"marblelane/internal/testutil/disk"
 )
 
-// maxOpsPerProcess bounds how many operations a process does before the power fails: those of opening and of two saves.
+// maxOpsPerProcess limits the number of operations of a process before the power fails. It covers the opening of the
+// store and two saves.
 const maxOpsPerProcess = 12
 
-// CheckRestarts runs processes one after the other. The power fails at a random operation of each, and the next one
-// starts from a random image that may be left.
+// CheckRestarts runs processes one after the other. The power fails at a random operation of each process, and the next
+// process starts from a random one of the images that the loss of power may leave.
 func CheckRestarts(seed uint64, restarts int) error {
 	rng := rand.New(rand.NewPCG(seed, 13))
 	image := disk.Image{"/": nil}
@@ -29,11 +30,11 @@
 		allowed = AllowedAfterLoad(loaded)
 		d := disk.New(image)
 		losePowerAfter(d, rng.IntN(maxOpsPerProcess))
-		store, _ := Open(Dir, d) // each Save retries what failed
+		store, _ := Open(Dir, d) // each Save retries a failed Open
 		for save := range 2 {
 			state := State(10*restart+save, rng.IntN(5))
 			err := store.Save(context.Background(), state)
-			if state.Seq > 0 { // the save has begun
+			if state.Seq > 0 { // the save has started
 				allowed.States = append(allowed.States, state)
 			}
 			if err != nil {
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// losePowerAfter lets each operation fail that follows the first opCount ones.
+// losePowerAfter makes all operations after the first opCount ones fail.
 func losePowerAfter(d *disk.Disk, opCount int) {
 	d.Fail = func(done int, _ disk.Op) error {
 		if done >= opCount {
@@ -56,8 +57,8 @@
 	}
 }
 
-// CheckFailedSave saves a state, lets breakDisk change the disk, and saves another state, which has to fail with want.
-// The first state has to survive a loss of power then, and once the disk works again, the next save has to succeed.
+// CheckFailedSave saves a state, calls breakDisk, and checks that saving another state fails with the error want. It
+// then checks that the first state survives a loss of power, and that the next save succeeds once the disk works again.
 func CheckFailedSave(breakDisk func(d *disk.Disk), want error) error {
 	d := disk.New(disk.Image{"/": nil})
 	store, err := Open(Dir, d)
@@ -70,7 +71,7 @@
 	}
 	breakDisk(d)
 	if err := store.Save(context.Background(), second); !errors.Is(err, want) {
-		return fmt.Errorf("the save ends with %w, and not with %w", err, want)
+		return fmt.Errorf("save returned %w, want %w", err, want)
 	}
 	d.Fail, d.FreeBytes = nil, disk.Unlimited
 	allowed := AllowedStates{States: []*snapshot.Snapshot{first, second}, MinSeq: first.Seq}
@@ -80,10 +81,10 @@
 		}
 	}
 	if err := store.Save(context.Background(), third); err != nil {
-		return fmt.Errorf("save after the disk works again: %w", err)
+		return fmt.Errorf("save after the disk recovered: %w", err)
 	}
 	if loaded, unused := store.Load(); len(unused) > 0 || !cmp.Equal(third, loaded) {
-		return fmt.Errorf("save after the disk works again: another state is loaded (%v)", unused)
+		return fmt.Errorf("load after the disk recovered: wrong state, unused files %v", unused)
 	}
 	return nil
 }
--- a/internal/snapshot/export_test.go
+++ b/internal/snapshot/export_test.go
@@ -1,13 +1,15 @@
 package snapshot
 
-// Tests of the format use these to make files that this program does not write.
+// Exported for tests that build files of formats that this program does not write.
 var (
 	EncodeFile     = encodeFile
 	DecodeSections = decodeSections
 )
 
+// Section is exported for tests.
 type Section = section
 
+// NewSection returns a section with the given body.
 func NewSection(name string, critical bool, body string) Section {
 	s := section{name: name, body: []byte(body)}
 	if critical {
--- a/internal/snapshot/format_test.go
+++ b/internal/snapshot/format_test.go
@@ -15,7 +15,7 @@
 	"marblelane/internal/snapshot/crashcheck"
 )
 
-// encoded returns the file of a state of one server.
+// encoded returns the file of a state with one server.
 func encoded(t *testing.T, number int) []byte {
 	t.Helper()
 	state := crashcheck.State(number, 1)
@@ -25,13 +25,13 @@
 	return file
 }
 
-// decodeError returns only the error of Decode.
+// decodeError returns the error of Decode.
 func decodeError(file []byte) error {
 	_, err := snapshot.Decode(file)
 	return err
 }
 
-// undetectedFlips returns how many single flipped bits a decoder does not detect.
+// undetectedFlips flips each bit of a file in turn and returns the number of flips that decode does not detect.
 func undetectedFlips(file []byte, decode func([]byte) error) (undetected int) {
 	for i := range len(file) * 8 {
 		file[i/8] ^= 1 << (i % 8)
@@ -48,7 +48,7 @@
 	require.NoError(t, decodeError(file))
 	assert.Zero(t, undetectedFlips(file, decodeError))
 	const lastSeqByte = 31
-	assert.NotZero(t, undetectedFlips(file, func(file []byte) error { // the planted defect: checksums without the header
+	assert.NotZero(t, undetectedFlips(file, func(file []byte) error { // planted defect: no checksum covers the header
 		sections, err := snapshot.DecodeSections(file[:len(file)-digestBytes], stateSections)
 		if err != nil {
 			return err
@@ -57,7 +57,7 @@
 	}))
 }
 
-// Parts of two sound files of the same length are not a sound file, and neither is a part of one.
+// Decode rejects mixtures of two valid files of the same length, and truncated files.
 func TestDecode_mixtures(t *testing.T) {
 	a, b := encoded(t, 1), encoded(t, 3)
 	require.Len(t, b, len(a))
@@ -78,20 +78,20 @@
 	knownKey := section("list", false, `{"must":["rev"],"rev":3}`)
 	for name, c := range map[string]struct {
 		format, minReader uint16
-		sections          []snapshot.Section // after the first
+		sections          []snapshot.Section // sections after the head
 		wantErr           string
 	}{
 		"older, fewer sections":         {1, 1, nil, ""},
 		"newer, readable":               {7, 1, []snapshot.Section{unknown, list}, ""},
-		"newer, not readable":           {7, 2, []snapshot.Section{unknown}, "format 7, to be read from 2 on"},
-		"newer, critical section":       {7, 1, []snapshot.Section{critical}, `section "more" has to be understood`},
-		"newer, required key":           {7, 1, []snapshot.Section{unknownKey}, `key "x" of section "list"`},
+		"newer, not readable":           {7, 2, []snapshot.Section{unknown}, "format 7 requires a reader of format 2"},
+		"newer, critical section":       {7, 1, []snapshot.Section{critical}, `unknown critical section "more"`},
+		"newer, required key":           {7, 1, []snapshot.Section{unknownKey}, `unknown required key "x" in section "list"`},
 		"newer, required key, is known": {7, 1, []snapshot.Section{knownKey}, ""},
 	} {
 		sections := append([]snapshot.Section{head}, c.sections...)
 		state, err := snapshot.Decode(snapshot.EncodeFile(c.format, c.minReader, 4, sections))
 		if c.wantErr != "" {
-			assert.ErrorIs(t, err, snapshot.ErrNewer, name)
+			assert.ErrorIs(t, err, snapshot.ErrNewerVersion, name)
 			assert.ErrorContains(t, err, c.wantErr, name)
 			continue
 		}
@@ -100,13 +100,13 @@
 		assert.EqualValues(t, 4, state.Seq, name)
 	}
 	err := decodeError(snapshot.EncodeFile(1, 1, 4, []snapshot.Section{list}))
-	assert.ErrorContains(t, err, "none named head")
+	assert.ErrorContains(t, err, `missing section "head"`)
 	wrongType := section("list", false, `{"rev":"x"}`)
 	err = decodeError(snapshot.EncodeFile(1, 1, 4, []snapshot.Section{head, wrongType}))
 	assert.ErrorContains(t, err, `section "list"`)
 }
 
-// A file that the first program wrote: each later program has to read it.
+// Every version of the program has to read a file of format 1.
 func TestDecode_format1(t *testing.T) {
 	file, err := os.ReadFile("testdata/format-1.state")
 	require.NoError(t, err)
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	digestBytes   = 32 // at the end of a state file
-	stateSections = 3  // of a state file
+	digestBytes   = 32 // size of the digest at the end of a state file
+	stateSections = 3  // number of sections of a state file
 )
 
-// golden reads a file of testdata/golden. Its files have the stored form of format 1 and must not change: a later
-// program has to read them.
+// golden reads a file of testdata/golden. The files there have the stored form of format 1 and must not change, because
+// later versions of the program have to read them.
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -29,7 +29,7 @@
 	return content
 }
 
-// fullState has a value other than zero in each field that is stored.
+// fullState returns a state with a non-zero value in each stored field.
 func fullState() *snapshot.Snapshot {
 	return &snapshot.Snapshot{
 		Seq:      1,
@@ -37,8 +37,8 @@
 		Written:  time.UnixMilli(1_700_000_000_123).UTC(),
 		Learned: snapshot.Learned{
 			Servers: []snapshot.Server{
-				{UID: "server-0", Size: -0.125, ConsecutiveErrors: 3, ErrorAge: 250.5, Ejections: 2, EjectionRemaining: 1500, Down: true, WarmingUp: true,
-					WarmUpAge: 4000, BootUnixMS: 1_699_999_990_000},
+				{UID: "server-0", Size: -0.125, ConsecutiveErrors: 3, ErrorAge: 250.5, Ejections: 2,
+					EjectionRemaining: 1500, Down: true, WarmingUp: true, WarmUpAge: 4000, BootUnixMS: 1_699_999_990_000},
 				{UID: "server-1"},
 			},
 			Kinds: map[string]float64{"large": 1.5, "small <&> \"kind\"": -2e-7},
@@ -54,7 +54,7 @@
 	}
 }
 
-// emptyState has no value but those that each state needs.
+// emptyState returns a state with only the values that every state requires.
 func emptyState() *snapshot.Snapshot { return &snapshot.Snapshot{Written: time.UnixMilli(1).UTC()} }
 
 func TestGoldenFiles(t *testing.T) {
--- a/internal/snapshot/inspect.go
+++ b/internal/snapshot/inspect.go
@@ -11,16 +11,18 @@
 
 // Finding is the result of reading one state file.
 type Finding struct {
-	File  string
-	Bytes int64
-	State *Snapshot // nil: the file is not sound
-	Err   error     // a *DamageError if the file is damaged, ErrNewer if only a newer program may read it, or another
+	File  string    // path
+	Bytes int64     // size; 0 if the file could not be read
+	State *Snapshot // nil if the file is invalid
+	// Err is nil for a valid file, a *DamageError for a damaged one, ErrNewerVersion for one that only a newer version
+	// of this program may read, or an error of the file system.
+	Err error
 }
 
-var errNoState = errors.New("there is none in this folder")
+var errNoState = errors.New("no state file in this folder")
 
-// Inspect reads a state file, or both generations of a state folder, of any user and identity. It returns an error if
-// there is no file to read; what is wrong with a file is in its finding.
+// Inspect reads a state file, or both generations of a state folder, of any user and identity. It returns an error only
+// if there is no file to read. Errors of a single file are in its finding.
 func Inspect(path string, maxBytes int64) ([]Finding, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -42,6 +44,7 @@
 	return findings, nil
 }
 
+// inspectFile reads and decodes one state file of any user.
 func inspectFile(name string, maxBytes int64) Finding {
 	content, err := readFile(fsys.OS{}, name, maxBytes, AnyUser)
 	if err != nil {
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -14,79 +14,82 @@
 	"marblelane/internal/fsys"
 )
 
-// Files of a state folder. Two generations alternate: Save never writes the one that holds the newest sound state.
+// Names of the files in a state folder. Two generations alternate: Save never replaces the file with the newest valid
+// state.
 const (
 	tempFile = "state.tmp"
 	lockFile = "state.lock"
 )
 
+// generations are the names of the two state files.
 var generations = [2]string{"state.0", "state.1"}
 
-// noGeneration stands for an index into generations where no file holds a sound state.
+// noGeneration is used instead of an index into generations if neither file holds a valid state.
 const noGeneration = -1
 
-// DefaultMaxBytes bounds a state file: ten times what 2,000 servers need.
+// DefaultMaxBytes is the default size limit of a state file: ten times the size for 2,000 servers.
 const DefaultMaxBytes = 8 << 20
 
-// Values of Options.User that are no user's number.
+// Special values of Options.User.
 const (
-	// CurrentUser accepts files of this process's user alone.
+	// CurrentUser accepts only files that the user of this process owns.
 	CurrentUser = 0
 	// AnyUser accepts files of all users.
 	AnyUser = -1
 )
 
 var (
-	// ErrLocked says that another process writes in the folder.
+	// ErrLocked reports that another process holds the lock of the folder.
 	ErrLocked = fsys.ErrLocked
-	// ErrTooLarge says that a file or a state is longer than Options.MaxBytes.
-	ErrTooLarge = errors.New("too long")
-	// ErrForeign says that a state belongs to another fleet, process or user, or was learned under other settings.
-	ErrForeign = errors.New("another's")
-	// ErrClosed says that the store was closed.
-	ErrClosed = errors.New("the store is closed")
-
-	errNotRegularFile = errors.New("it is no regular file")
+	// ErrTooLarge reports a file or an encoded state that exceeds Options.MaxBytes.
+	ErrTooLarge = errors.New("too large")
+	// ErrForeign reports a state of another fleet, process or user, or one that was learned under other settings.
+	ErrForeign = errors.New("foreign state")
+	// ErrClosed reports a Save after Close.
+	ErrClosed = errors.New("store is closed")
+
+	errNotRegularFile = errors.New("not a regular file")
 )
 
-// Options configure a store.
+// Options configures a store.
 type Options struct {
-	Identity Identity // Load accepts states of this identity alone; Save writes it
-	MaxBytes int64    // bound of a file; 0: DefaultMaxBytes
-	FS       fsys.FS  // nil: the operating system's
-	User     int      // number of the user whose files are read, CurrentUser or AnyUser
+	Identity Identity // Load accepts only states of this identity; Save writes it
+	MaxBytes int64    // size limit of a state file; 0 means DefaultMaxBytes
+	FS       fsys.FS  // nil means the operating system's file system
+	User     int      // ID of the user whose files are read, or CurrentUser or AnyUser
 }
 
-// FileError says why a state file was not used.
+// FileError reports why Load did not use a state file.
 type FileError struct {
-	File string
+	File string // path
 	Err  error
 }
 
 // Error implements error.
 func (e FileError) Error() string { return fmt.Sprintf("%s: %v", e.File, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e FileError) Unwrap() error { return e.Err }
 
-// Store keeps the states of one process in a folder. It is safe for concurrent use.
+// Store saves and loads the states of one process in a folder. It is safe for concurrent use.
 type Store struct {
 	dir     string
 	options Options
 	files   fsys.FS
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards the fields below
 	closed bool
-	lock   fsys.Lock // nil: not held
-	// scanned says that newest and seqs describe the folder. That needs the lock: without it another process may write.
+	lock   fsys.Lock // nil if not held
+	// scanned reports whether newestGeneration and seqs describe the folder. It is only set while the lock is held,
+	// since another process may write otherwise.
 	scanned          bool
-	newestGeneration int       // generation that holds the newest sound state and must not be written, or noGeneration
-	seqs             [2]uint64 // sequence number of each generation, as far as its header can be read
+	newestGeneration int       // generation with the newest valid state, which must not be replaced, or noGeneration
+	seqs             [2]uint64 // sequence number of each generation; 0 if its header is unreadable
 }
 
-// Open opens a state folder and creates it if its parent exists. The store is returned in any case and can Load. The
-// error says why it cannot Save for now: ErrLocked, or an error of the file system. Each Save retries, so that a process
-// whose predecessor still runs begins to write when the predecessor ends.
+// Open opens a state folder and creates it if its parent exists. The store is returned in any case and can Load. An
+// error means that it cannot Save yet: ErrLocked, or an error of the file system. Each Save retries to lock the folder,
+// so that a process whose predecessor is still running can save once the predecessor has ended.
 func Open(dir string, options Options) (*Store, error) {
 	if options.MaxBytes == 0 {
 		options.MaxBytes = DefaultMaxBytes
@@ -103,13 +106,13 @@
 		err = s.acquireLock()
 	}
 	if err != nil {
-		return s, fmt.Errorf("state folder %s: %w", s.dir, err)
+		return s, fmt.Errorf("open state folder %s: %w", s.dir, err)
 	}
 	return s, nil
 }
 
-// createFolder creates the folder and syncs its name. The name of an existing folder is synced too, as the process that
-// created it may have been killed before it did so.
+// createFolder creates the folder and syncs its parent. It also syncs the parent of an existing folder, as the process
+// that created the folder may have been killed before its sync.
 func (s *Store) createFolder() error {
 	if err := s.files.Mkdir(s.dir); err != nil && !errors.Is(err, fs.ErrExist) {
 		return err
@@ -121,7 +124,7 @@
 	return err
 }
 
-// Close releases the folder. The states stay.
+// Close releases the lock of the folder. The saved states remain. Further calls of Save return ErrClosed.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,8 +132,8 @@
 	return s.releaseLock()
 }
 
-// acquireLock makes sure that this process holds the lock of the folder that has the name now. Another folder may have
-// been put in the place of the one that was opened.
+// acquireLock ensures that this process holds the lock of the folder that currently has the store's path. The folder
+// may have been replaced since it was opened.
 func (s *Store) acquireLock() error {
 	if s.lock != nil && s.lock.Current() {
 		return nil
@@ -143,12 +146,13 @@
 		return err
 	}
 	if !lock.Current() { // the file was replaced after it was opened; the next Save retries
-		return errors.Join(fmt.Errorf("lock %s: replaced meanwhile", s.path(lockFile)), lock.Close())
+		return errors.Join(fmt.Errorf("lock %s: file was replaced while being locked", s.path(lockFile)), lock.Close())
 	}
 	s.lock = lock
 	return nil
 }
 
+// releaseLock releases the lock if it is held.
 func (s *Store) releaseLock() error {
 	if s.lock == nil {
 		return nil
@@ -160,16 +164,16 @@
 
 func (s *Store) path(name string) string { return filepath.Join(s.dir, name) }
 
-// Load returns the newest sound state of the store's identity, or nil if there is none, and why other files were not
-// used. It reads at most Options.MaxBytes of each file and writes nothing: a file that was not used stays until a Save
-// replaces it.
+// Load returns the newest valid state of the store's identity, or nil if there is none, and an error for each file that
+// it could not use. It reads at most Options.MaxBytes of each file and writes nothing: an unused file remains until a
+// Save replaces it.
 func (s *Store) Load() (*Snapshot, []FileError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.scanGenerations()
 }
 
-// scanGenerations reads both generations and notes which is the newest sound one. The caller holds s.mu.
+// scanGenerations reads both generations and records which one has the newest valid state. The caller holds s.mu.
 func (s *Store) scanGenerations() (*Snapshot, []FileError) {
 	var newest *Snapshot
 	var unused []FileError
@@ -189,7 +193,7 @@
 	return newest, unused
 }
 
-// readState reads a state file. The sequence number is returned with an error too, if the header is sound.
+// readState reads a state file. If the header is valid, the sequence number is returned even with an error.
 func (s *Store) readState(name string) (state *Snapshot, seq uint64, err error) {
 	content, err := readFile(s.files, name, s.options.MaxBytes, s.options.User)
 	if err != nil {
@@ -210,8 +214,8 @@
 	return state, seq, nil
 }
 
-// readFile reads a regular file of at most maxBytes that belongs to the user and that no other user may write. Of a
-// longer file it reads nothing.
+// readFile reads a regular file of at most maxBytes that the user owns and that no other user may write. It reads
+// nothing of a larger file.
 func readFile(files fsys.FS, name string, maxBytes int64, user int) ([]byte, error) {
 	file, err := files.Open(name)
 	if err != nil {
@@ -232,31 +236,32 @@
 	return content.Bytes(), nil
 }
 
-// othersWriteMask are the permission bits that let other users write a file.
+// othersWriteMask has the permission bits that let other users write a file.
 const othersWriteMask fs.FileMode = 0o022
 
-// checkReadable says why a file must not be read, if so.
+// checkReadable returns an error if a file must not be read because of its type, owner, permissions or size.
 func checkReadable(info fsys.Info, maxBytes int64, user int) error {
 	permissions := info.Mode.Perm()
 	switch {
 	case !info.Mode.IsRegular():
 		return errNotRegularFile
 	case user >= 0 && info.Owner != user:
-		return fmt.Errorf("%w: it belongs to user %d, this process to %d", ErrForeign, info.Owner, user)
+		return fmt.Errorf("%w: file is owned by user %d, want user %d", ErrForeign, info.Owner, user)
 	case user >= 0 && permissions&othersWriteMask != 0:
-		return fmt.Errorf("%w: other users may write it (mode %v)", ErrForeign, permissions)
+		return fmt.Errorf("%w: file is writable by other users (mode %v)", ErrForeign, permissions)
 	}
 	return checkSize(info.Size, maxBytes)
 }
 
+// checkSize returns ErrTooLarge if a size exceeds maxBytes.
 func checkSize(size, maxBytes int64) error {
 	if size > maxBytes {
-		return fmt.Errorf("%w: %d bytes, and %d is the most", ErrTooLarge, size, maxBytes)
+		return fmt.Errorf("%w: %d bytes, limit is %d bytes", ErrTooLarge, size, maxBytes)
 	}
 	return nil
 }
 
-// withoutPath removes the file's name from an error that FileError puts it before again.
+// withoutPath removes the path from a *fs.PathError, as FileError adds it again.
 func withoutPath(err error) error {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
@@ -265,18 +270,19 @@
 	return err
 }
 
-// Save writes a state to a temporary file, syncs it, renames it over the older generation and syncs the folder. When it
-// returns without an error, the state survives a loss of power. Otherwise the state before it does; the new one may be
-// there as well, and is then complete. Save sets Seq and Identity of the state. The caller decides how often to save.
+// Save writes a state to a temporary file, syncs it, renames it over the older generation and syncs the folder. If it
+// returns nil, the state survives a loss of power. If it returns an error, the previous state does. The new state may
+// then be on the disk as well, and if it is, it is complete. Save sets Seq and Identity of the state.
 func (s *Store) Save(ctx context.Context, state *Snapshot) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.save(ctx, state); err != nil {
-		return fmt.Errorf("save a state in %s: %w", s.dir, err)
+		return fmt.Errorf("save state in %s: %w", s.dir, err)
 	}
 	return nil
 }
 
+// save implements Save. The caller holds s.mu.
 func (s *Store) save(ctx context.Context, state *Snapshot) error {
 	if s.closed {
 		return ErrClosed
@@ -304,22 +310,22 @@
 	return s.replaceGeneration(s.nextGeneration(), state.Seq)
 }
 
-// replaceGeneration puts the temporary file in the place of a generation.
+// replaceGeneration renames the temporary file over a generation and syncs the folder.
 func (s *Store) replaceGeneration(generation int, seq uint64) error {
-	s.seqs[generation] = seq // even after an error below the disk may have it
+	s.seqs[generation] = seq // set first: the new file may be on the disk even if a step below fails
 	if err := s.files.Rename(s.path(tempFile), s.path(generations[generation])); err != nil {
 		s.scanned = false
 		return errors.Join(err, s.removeTemp())
 	}
 	if err := s.files.SyncDir(s.dir); err != nil {
-		return err // s.newest stays: the next Save writes the same generation again
+		return err // newestGeneration is unchanged, so that the next Save replaces the same generation
 	}
 	s.newestGeneration = generation
 	return nil
 }
 
-// nextGeneration is the one that the next Save replaces: never the newest sound one. If neither is sound, it is the one
-// of the lower sequence number.
+// nextGeneration returns the generation that the next Save replaces. It is never the one with the newest valid state.
+// If neither is valid, it is the one with the lower sequence number.
 func (s *Store) nextGeneration() int {
 	if s.newestGeneration != noGeneration {
 		return 1 - s.newestGeneration
@@ -330,8 +336,8 @@
 	return 0
 }
 
-// writeTemp writes and syncs the temporary file. It always creates a new file: after a failed sync it is unknown
-// what the disk holds of the old one.
+// writeTemp writes and syncs the temporary file. It always creates a new file, because after a failed sync the content
+// of the old file on the disk is unknown.
 func (s *Store) writeTemp(content []byte) error {
 	if err := s.removeTemp(); err != nil {
 		return err
@@ -346,7 +352,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// removeTemp removes the temporary file that an earlier Save may have left.
+// removeTemp removes the temporary file of an earlier Save, if any.
 func (s *Store) removeTemp() error {
 	if err := s.files.Remove(s.path(tempFile)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	// helperDirVar is the environment variable with the folder in which this program, as a helper process, saves states
-	// until it is killed.
+	// helperDirVar is an environment variable. If it is set, the test program is a helper process that saves states in
+	// the folder of that name until it is killed.
 	helperDirVar = "SNAPSHOT_TEST_DIR"
-	// helperServers is how many servers the states of the helper process have.
+	// helperServers is the number of servers in the states of the helper process.
 	helperServers = 20
 )
 
@@ -39,7 +39,8 @@
 	os.Exit(1)
 }
 
-// saveForever saves states and prints the sequence number of each after its Save returned. It returns the first error.
+// saveForever saves states until an error, which it returns. It prints the sequence number of each state after its Save
+// has returned.
 func saveForever(dir string) error {
 	store, err := crashcheck.Open(dir, nil)
 	if err != nil {
@@ -58,7 +59,7 @@
 	}
 }
 
-// openStore opens a store of a real folder for the time of the test.
+// openStore opens a store in a folder of the operating system and closes it when the test ends.
 func openStore(t *testing.T, dir string) *snapshot.Store {
 	t.Helper()
 	store, err := crashcheck.Open(dir, nil)
@@ -73,8 +74,8 @@
 	return store.Save(t.Context(), crashcheck.State(number, 0))
 }
 
-// runAndKill runs the helper process and kills it some time after its first save. It returns the sequence number of the
-// last save that the process reported.
+// runAndKill runs the helper process and kills it the given time after its first save. It returns the sequence number
+// of the last save that the process reported.
 func runAndKill(t *testing.T, dir string, after time.Duration) (lastSeq uint64) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -83,7 +84,7 @@
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
 	lines := bufio.NewScanner(out)
-	require.True(t, lines.Scan(), "the helper saves")
+	require.True(t, lines.Scan(), "the helper process reports its first save")
 	timer := time.AfterFunc(after, func() { _ = cmd.Process.Kill() })
 	defer timer.Stop()
 	for more := true; more; more = lines.Scan() {
@@ -118,17 +119,18 @@
 				require.Empty(t, cmp.Diff(want, got))
 			}
 			assert.Greater(t, lastSeq, uint64(kills))
-			t.Logf("%d saves, %d of %d kills while a file was written", lastSeq, killedInWrite, kills)
+			t.Logf("%d saves, %d of %d kills during the write of a file", lastSeq, killedInWrite, kills)
 		})
 	}
 }
 
-// unusableFile is a file that Load must not use.
+// unusableFile is a file that Load must reject.
 type unusableFile struct {
 	create  func(name string) error
 	wantErr string
 }
 
+// unusableFiles returns the files that Load must reject, by name of the test case.
 func unusableFiles(t *testing.T) map[string]unusableFile {
 	t.Helper()
 	sound, err := snapshot.Encode(&snapshot.Snapshot{Seq: 9, Identity: crashcheck.Identity(), Written: time.Unix(1, 0)})
@@ -149,18 +151,18 @@
 		}
 	}
 	return map[string]unusableFile{
-		"empty":     {write(nil), "the file is empty"},
-		"cut":       {write(sound[:len(sound)-1]), "it tells of"},
-		"long":      {write(append(append([]byte{}, sound...), 0)), "it tells of"},
-		"no state":  {write(make([]byte, 1<<20)), "it does not begin as a state does"},
-		"future":    {write(snapshot.EncodeFile(3, 2, 9, nil)), "from a newer program: format 3"},
-		"elsewhere": {write(foreign), `another's: its site is "elsewhere", here it is "stock"`},
+		"empty":     {write(nil), "file is empty"},
+		"cut":       {write(sound[:len(sound)-1]), "size mismatch: header says"},
+		"long":      {write(append(append([]byte{}, sound...), 0)), "size mismatch: header says"},
+		"no state":  {write(make([]byte, 1<<20)), "unknown magic number"},
+		"future":    {write(snapshot.EncodeFile(3, 2, 9, nil)), "written by a newer version of this program: format 3"},
+		"elsewhere": {write(foreign), `foreign state: site is "elsewhere", want "stock"`},
 		"writable": {writeThen(func(name string) error { return os.Chmod(name, 0o666) }),
-			"other users may write it"},
+			"file is writable by other users"},
 		"sparse": {writeThen(func(name string) error { return os.Truncate(name, 10<<30) }),
-			"too long: 10737418240 bytes"},
+			"too large: 10737418240 bytes"},
 		"link": {func(name string) error { return os.Symlink("/dev/zero", name) }, "too many levels of symbolic links"},
-		"pipe": {func(name string) error { return syscall.Mkfifo(name, 0o600) }, "it is no regular file"},
+		"pipe": {func(name string) error { return syscall.Mkfifo(name, 0o600) }, "not a regular file"},
 	}
 }
 
@@ -212,7 +214,7 @@
 	require.ErrorIs(t, err, snapshot.ErrLocked)
 	require.Contains(t, err.Error(), dir)
 	got, _ := newer.Load()
-	require.EqualValues(t, 1, got.Seq, "the newer process can load")
+	require.EqualValues(t, 1, got.Seq, "the newer process can load without the lock")
 	require.ErrorIs(t, save(t, newer, 9), snapshot.ErrLocked)
 
 	require.NoError(t, save(t, older, 2))
@@ -220,7 +222,7 @@
 	require.ErrorIs(t, save(t, older, 9), snapshot.ErrClosed)
 	third := crashcheck.State(3, 0)
 	require.NoError(t, newer.Save(t.Context(), third))
-	assert.EqualValues(t, 3, third.Seq, "it continues from what the older process saved after its Load")
+	assert.EqualValues(t, 3, third.Seq, "the sequence continues from the last save of the older process")
 	require.NoError(t, newer.Close())
 }
 
@@ -234,7 +236,7 @@
 	require.Nil(t, got)
 	require.Empty(t, unused)
 
-	other := openStore(t, dir) // another process creates the folder anew
+	other := openStore(t, dir) // another process creates the folder again
 	require.ErrorIs(t, save(t, store, 2), snapshot.ErrLocked)
 	require.NoError(t, other.Close())
 	require.NoError(t, save(t, store, 2))
@@ -258,7 +260,7 @@
 	require.ErrorIs(t, store.Save(canceled, crashcheck.State(1, 0)), context.Canceled)
 }
 
-// realisticState has names and figures as long as those of a fleet.
+// realisticState returns a state whose names and numbers are as long as those of a real fleet.
 func realisticState(servers int) *snapshot.Snapshot {
 	state := crashcheck.State(1, servers)
 	for i := range servers {
@@ -284,7 +286,7 @@
 			}
 			b.ReportMetric(float64(len(file)), "bytes")
 		})
-		b.Run(fmt.Sprintf("Load/%d", servers), func(b *testing.B) { // of both generations
+		b.Run(fmt.Sprintf("Load/%d", servers), func(b *testing.B) { // reads both generations
 			for b.Loop() {
 				if got, unused := store.Load(); got == nil || len(unused) > 0 {
 					b.Fatal(unused)
--- a/internal/statekey/statekey.go
+++ b/internal/statekey/statekey.go
@@ -1,9 +1,9 @@
-// Package statekey writes keys by which an exploration tells states apart.
+// Package statekey encodes keys that identify the states of a state-space exploration.
 package statekey
 
 import "encoding/binary"
 
-// AppendInts appends integers to a key. Two different lists of the same length have different keys.
+// AppendInts appends integers to a key. Different lists of the same length result in different keys.
 func AppendInts(key []byte, values ...int64) []byte {
 	for _, v := range values {
 		key = binary.AppendVarint(key, v)
@@ -11,7 +11,7 @@
 	return key
 }
 
-// BoolInt is a boolean as an integer of a key: 1 or 0.
+// BoolInt returns 1 for true and 0 for false, for use with AppendInts.
 func BoolInt(b bool) int64 {
 	if b {
 		return 1
--- a/internal/streamlimit/streamlimit.go
+++ b/internal/streamlimit/streamlimit.go
@@ -1,5 +1,5 @@
-// Package streamlimit bounds streaming HTTP responses, such as watches: how many are open at once, and how long a client
-// may take to read one write. The management address of a sidecar and the list service use it.
+// Package streamlimit limits streaming HTTP responses, such as watches: the number that are open at once, and the time
+// that a client may take to read one write. The management address of a sidecar and the list service use it.
 package streamlimit
 
 import (
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// Limiter bounds the streaming responses of one kind. The zero value admits none. It is safe for concurrent use.
+// Limiter limits the streaming responses of one kind. The zero value admits none. It is safe for concurrent use.
 type Limiter struct {
-	MaxOpen      int64         // responses at once
-	WriteTimeout time.Duration // for one write; it replaces the WriteTimeout of the HTTP server
-	open         atomic.Int64  // responses, including one that is about to be rejected
+	MaxOpen      int64         // maximum number of open responses
+	WriteTimeout time.Duration // timeout of one write; replaces the WriteTimeout of the HTTP server
+	open         atomic.Int64  // number of open responses, including one that is about to be rejected
 }
 
-// Serve runs the handler for a streaming response. It answers 503 if MaxOpen responses are open, and 405 to methods other
-// than GET. A response to HEAD has no body, so the disconnect of its client would not be noticed by a write.
+// Serve runs the handler for a streaming response. It responds with 503 if MaxOpen responses are open, and with 405 to
+// methods other than GET. HEAD is rejected because its response has no body, so that no write would detect that the
+// client has disconnected.
 func (l *Limiter) Serve(w http.ResponseWriter, r *http.Request, handler http.Handler) {
 	if r.Method != http.MethodGet {
 		w.Header().Set("Allow", http.MethodGet)
@@ -43,7 +44,7 @@
 	timeout time.Duration
 }
 
-// Write sets the deadline, which also covers the flush that follows, and writes.
+// Write sets the write deadline and writes. The deadline also covers the following flush.
 func (s *streamWriter) Write(p []byte) (int, error) {
 	if err := s.control.SetWriteDeadline(time.Now().Add(s.timeout)); err != nil {
 		return 0, err
--- a/internal/streamlimit/streamlimit_test.go
+++ b/internal/streamlimit/streamlimit_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// streamUntilError writes and flushes until one of them fails.
+// streamUntilError writes and flushes until a write or a flush fails, and returns the error.
 func streamUntilError(w http.ResponseWriter) error {
 	chunk := make([]byte, 1<<20)
 	control := http.NewResponseController(w)
@@ -32,7 +32,7 @@
 			ended <- streamUntilError(w)
 		}))
 	}))
-	srv.Config.WriteTimeout = time.Hour // so that only the deadline of the limiter can pass
+	srv.Config.WriteTimeout = time.Hour // longer than the test, so that only the deadline of the limiter applies
 	srv.Start()
 	defer srv.Close()
 	resp, err := http.Get(srv.URL)
@@ -42,7 +42,7 @@
 	case err := <-ended:
 		require.Error(t, err)
 	case <-time.After(20 * time.Second):
-		t.Fatal("the response goes on")
+		t.Fatal("the response did not end after WriteTimeout")
 	}
 	require.Eventually(t, func() bool {
 		next, err := http.Get(srv.URL)
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads TOML files strictly. Errors name file, line and key. An unknown key is an error, and so is a
-// duration without a unit, which the decoder alone would take for nanoseconds.
+// Package tomlfile decodes TOML files strictly. Errors contain the file, line and key. An unknown key is an error. So
+// is a duration without a unit, which the TOML decoder would read as nanoseconds.
 package tomlfile
 
 import (
@@ -10,8 +10,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads the text of a file into target, which points to a struct, and returns the lines of its keys. name stands
-// for the file in errors, which are all of the type *Error.
+// Decode decodes the text of a file into target, a pointer to a struct, and returns the lines of the file's keys. name
+// is the file name used in errors. All errors have the type *Error.
 func Decode(name string, text []byte, target any) (Index, error) {
 	index, numericKeys := indexFile(text)
 	decoder := toml.NewDecoder(bytes.NewReader(text))
@@ -27,7 +27,7 @@
 	return index, nil
 }
 
-// isDuration reports whether the field that a key is decoded into is a Duration.
+// isDuration reports whether a key is decoded into a field of type Duration or a pointer to it.
 func isDuration(target reflect.Type, key string) bool {
 	for part := range strings.SplitSeq(key, ".") {
 		name, _, _ := strings.Cut(part, "[")
@@ -43,7 +43,7 @@
 	return target == reflect.TypeFor[Duration]()
 }
 
-// elementType is the type behind pointers and slices.
+// elementType returns the type that remains after pointers and slices are removed from t.
 func elementType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
@@ -51,7 +51,8 @@
 	return t
 }
 
-// fieldForKey finds the field of a struct that a key is decoded into: by its tag, or by its name if it has none.
+// fieldForKey returns the struct field that a key is decoded into. A field is found by its toml tag, or by its name if
+// it has no tag.
 func fieldForKey(t reflect.Type, key string) (field reflect.StructField, ok bool) {
 	if t.Kind() != reflect.Struct {
 		return reflect.StructField{}, false
--- a/internal/tomlfile/duration.go
+++ b/internal/tomlfile/duration.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Duration is a duration in a file, written with its unit: "250ms", "10s".
+// Duration is a duration that is written with a unit in a file: "250ms", "10s".
 type Duration time.Duration
 
-// durationHint ends the error of a value that is not a duration.
+// durationHint is the end of the error text for a value that is not a duration.
 const durationHint = " is not a duration: it needs a number and a unit (ms, s, m)"
 
-// UnmarshalText reads a duration.
+// UnmarshalText parses a duration with a unit.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// MarshalText writes a duration in the form that UnmarshalText reads.
+// MarshalText returns the duration in the form that UnmarshalText parses.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
 // Duration returns the duration as a time.Duration.
--- a/internal/tomlfile/error.go
+++ b/internal/tomlfile/error.go
@@ -9,15 +9,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error is a file that cannot be read, or a value in it that is not allowed.
+// Error reports a file that cannot be decoded, or a value in it that is not allowed.
 type Error struct {
 	File string
-	Line int    // 0: not known
-	Key  string // empty: not known
-	Text string
+	Line int    // 0 if unknown
+	Key  string // key with its tables; empty if unknown
+	Text string // reason
 }
 
-// Error names file, line and key.
+// Error returns the reason with the file, line and key in front, as far as they are known.
 func (e *Error) Error() string {
 	position := e.File
 	if e.Line > 0 {
@@ -29,13 +29,13 @@
 	return position + ": " + e.Text
 }
 
-// decodeError turns an error of the TOML decoder into one that names file, line and key as far as they are known.
+// decodeError converts an error of the TOML decoder to an Error with the line and key, as far as they are known.
 func decodeError(file string, index Index, err error) *Error {
 	var unknownKeys *toml.StrictMissingError
 	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
 		first := unknownKeys.Errors[0]
 		line, _ := first.Position()
-		return &Error{File: file, Line: line, Key: strings.Join(first.Key(), "."), Text: "there is no such key"}
+		return &Error{File: file, Line: line, Key: strings.Join(first.Key(), "."), Text: "unknown key"}
 	}
 	var malformed *toml.DecodeError
 	if errors.As(err, &malformed) {
--- a/internal/tomlfile/index.go
+++ b/internal/tomlfile/index.go
@@ -7,11 +7,12 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Index has the line of each key and table of a file. Keys are written with their tables, as in "traffic.load" and
+// Index maps each key and table of a file to its line. Keys include their tables, as in "traffic.load" and
 // "fault[0].size".
 type Index map[string]int
 
-// Line returns the line of a key, or of the innermost table on its path that stands in the file; 0 if there is neither.
+// Line returns the line of a key. If the file does not have the key, it returns the line of the innermost table on the
+// path of the key, or 0 if the file has none of these tables.
 func (index Index) Line(key string) int {
 	for key != "" {
 		if line, ok := index[key]; ok {
@@ -26,7 +27,7 @@
 	return 0
 }
 
-// keyAt returns the key in a line, empty if there is none.
+// keyAt returns the key in a line, or an empty string if there is none.
 func (index Index) keyAt(line int) string {
 	for key, keyLine := range index {
 		if keyLine == line {
@@ -39,13 +40,13 @@
 // indexer builds the index of a file.
 type indexer struct {
 	index       Index
-	numericKeys []string       // the keys whose value is a number
-	table       string         // the table that the current line belongs to
-	tableCounts map[string]int // of the arrays of tables so far, by key
+	numericKeys []string       // keys whose value is a number
+	table       string         // table that the current line belongs to
+	tableCounts map[string]int // number of tables so far in each array of tables, by key
 }
 
-// indexFile returns the index of a file and the keys whose value is a number. It ends at the first expression that is not
-// TOML, which the decoder reports.
+// indexFile returns the index of a file and the keys whose value is a number. It stops at the first expression that is
+// not TOML. The decoder reports that error.
 func indexFile(text []byte) (index Index, numericKeys []string) {
 	x := indexer{index: Index{}, tableCounts: map[string]int{}}
 	parser := unstable.Parser{}
@@ -58,7 +59,7 @@
 	return x.index, x.numericKeys
 }
 
-// dottedKey returns the key of an expression, with dots, and its line.
+// dottedKey returns the key of an expression, with its parts separated by dots, and its line.
 func dottedKey(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
 	var parts []string
 	for it := expression.Key(); it.Next(); {
@@ -71,7 +72,7 @@
 	return strings.Join(parts, "."), line
 }
 
-// addExpression enters a table or a key with its value.
+// addExpression adds a table or a key to the index.
 func (x *indexer) addExpression(expression *unstable.Node, key string, line int) {
 	switch expression.Kind {
 	case unstable.Table:
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -9,12 +9,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// testFile has each kind of key that Decode finds in a file.
+// testFile has a field for each kind of key that Decode supports.
 type testFile struct {
 	Length  Duration  `toml:"length"`
 	Grace   *Duration `toml:"grace"`
 	Count   int       `toml:"count"`
-	Ratio   float64   // its key is the name of the field
+	Ratio   float64   // has no tag: the key is the field name
 	Servers struct {
 		Every Duration `toml:"every"`
 	} `toml:"servers"`
@@ -82,9 +82,9 @@
 		line            int
 		key, want       string
 	}{
-		{"unknown key", `count = 8`, `cuont = 8`, 3, "cuont", "there is no such key"},
-		{"unknown key of a table", `every = "1m"`, `evry = "1m"`, 7, "servers.evry", "there is no such key"},
-		{"unknown table", `[servers]`, `[sirvers]`, 6, "sirvers", "there is no such key"},
+		{"unknown key", `count = 8`, `cuont = 8`, 3, "cuont", "unknown key"},
+		{"unknown key of a table", `every = "1m"`, `evry = "1m"`, 7, "servers.evry", "unknown key"},
+		{"unknown table", `[servers]`, `[sirvers]`, 6, "sirvers", "unknown key"},
 		{"no unit", `length = "5s"`, `length = "5"`, 1, "length", unit},
 		{"wrong unit", `every = "1m"`, `every = "1 kg"`, 7, "servers.every", unit},
 		{"bare number", `length = "5s"`, `length = 5`, 1, "length", unit},
@@ -99,7 +99,7 @@
 			_, err := Decode("bad.toml", []byte(text), &testFile{})
 			var fileErr *Error
 			if !errors.As(err, &fileErr) {
-				t.Fatalf("error %v, want one of the type Error", err)
+				t.Fatalf("error %v, want type *Error", err)
 			}
 			if fileErr.File != "bad.toml" || fileErr.Line != test.line || fileErr.Key != test.key {
 				t.Errorf("file %q, line %d, key %q, want line %d and key %q", fileErr.File, fileErr.Line, fileErr.Key,
