--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -13,41 +13,41 @@
 // clockTolerance is the maximum time that a test may take between two reads of the clock.
 const clockTolerance = time.Second
 
-// openPlan opens an Injector for a fault file that does not exist yet.
-func openPlan(t *testing.T) (plan *Injector, path string) {
+// openTestInjector opens an Injector for a fault file that does not exist yet.
+func openTestInjector(t *testing.T) (injector *Injector, path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "faults.toml")
-	plan, err := Open(path)
+	injector, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return plan, path
+	return injector, path
 }
 
 // checkClock checks that the injected clock differs from the real one by step.
-func checkClock(t *testing.T, plan *Injector, step time.Duration) {
+func checkClock(t *testing.T, injector *Injector, step time.Duration) {
 	t.Helper()
-	if off := time.Until(plan.Now()) - step; off > clockTolerance || off < -clockTolerance {
+	if off := time.Until(injector.Now()) - step; off > clockTolerance || off < -clockTolerance {
 		t.Errorf("clock is off by %v, want %v", off+step, step)
 	}
 }
 
-func TestPlan_empty(t *testing.T) {
-	withoutFile, _ := openPlan(t)
-	for name, plan := range map[string]*Injector{"nil": nil, "no file": withoutFile} {
+func TestInjector_noFaults(t *testing.T) {
+	withoutFile, _ := openTestInjector(t)
+	for name, injector := range map[string]*Injector{"nil": nil, "no file": withoutFile} {
 		t.Run(name, func(t *testing.T) {
 			undo := errors.New("not called")
-			silent, err := plan.DiskWrite(func(e error) error { undo = e; return nil })
+			silent, err := injector.DiskWrite(func(e error) error { undo = e; return nil })
 			if silent || err != nil || undo != nil {
 				t.Errorf("silent %v, error %v, undo %v, want no fault", silent, err, undo)
 			}
-			checkClock(t, plan, 0)
+			checkClock(t, injector, 0)
 		})
 	}
 }
 
-func TestPlan_diskAndClock(t *testing.T) {
-	plan, path := openPlan(t)
+func TestInjector_diskAndClock(t *testing.T) {
+	injector, path := openTestInjector(t)
 	for _, test := range []struct {
 		name                 string
 		set                  Config
@@ -69,7 +69,7 @@
 			}
 			var undo error
 			started := time.Now()
-			silent, err := plan.DiskWrite(func(e error) error { undo = e; return e })
+			silent, err := injector.DiskWrite(func(e error) error { undo = e; return e })
 			elapsed := time.Since(started)
 			if (undo != nil) != test.undone || silent != test.silent || (err != nil) != test.fail {
 				t.Errorf("undo %v, silent %v, error %v", undo, silent, err)
@@ -77,7 +77,7 @@
 			if delay := time.Duration(test.set.DiskDelay); elapsed < delay {
 				t.Errorf("write took %v, want at least %v", elapsed, delay)
 			}
-			checkClock(t, plan, test.step)
+			checkClock(t, injector, test.step)
 		})
 	}
 }
@@ -101,19 +101,19 @@
 	}
 }
 
-func TestPlan_call(t *testing.T) {
-	plan, path := openPlan(t)
-	if err := plan.CallError(CallAccept); err != nil {
+func TestInjector_callError(t *testing.T) {
+	injector, path := openTestInjector(t)
+	if err := injector.CallError(CallAccept); err != nil {
 		t.Errorf("accept without a fault file: %v", err)
 	}
 	if err := (Config{Calls: map[string]string{CallAccept: "ENOBUFS"}}).Write(path); err != nil {
 		t.Fatal(err)
 	}
 	var callErr *os.SyscallError
-	if err := plan.CallError(CallAccept); !errors.Is(err, syscall.ENOBUFS) || !errors.As(err, &callErr) {
+	if err := injector.CallError(CallAccept); !errors.Is(err, syscall.ENOBUFS) || !errors.As(err, &callErr) {
 		t.Errorf("accept: %v", err)
 	}
-	if err := plan.CallError(CallOpen); err != nil {
+	if err := injector.CallError(CallOpen); err != nil {
 		t.Errorf("open: %v", err)
 	}
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -39,8 +39,8 @@
 		line          int
 		key, text     string
 	}{
-		{"unknown key", `load = 0.5`, "load = 0.5\nlaod = 0.6", 10, "traffic.laod", "no such key"},
-		{"unknown table", `[traffic]`, "[trafic]", 8, "trafic", "no such key"},
+		{"unknown key", `load = 0.5`, "load = 0.5\nlaod = 0.6", 10, "traffic.laod", "unknown key"},
+		{"unknown table", `[traffic]`, "[trafic]", 8, "trafic", "unknown key"},
 		{"no unit", `length = "5s"`, `length = "5"`, 3, "length", "needs a number and a unit"},
 		{"bare number", `length = "5s"`, `length = 5`, 3, "length", "needs a number and a unit"},
 		{"bare number of a fault", `size = 3`, "size = 3\nlatency = 5", 17, "fault[0].latency", "needs a number and a unit"},
--- a/internal/snapshot/crashcheck/crashcheck.go
+++ b/internal/snapshot/crashcheck/crashcheck.go
@@ -156,8 +156,8 @@
 }
 
 // imageKey returns a key for an image and the checks that apply to it.
-func imageKey(image disk.Image, allowed AllowedStates, recovers bool) string {
-	return fmt.Sprint(allowed.MinSeq, recovers) + image.Key()
+func imageKey(image disk.Image, allowed AllowedStates, withRecovery bool) string {
+	return fmt.Sprint(allowed.MinSeq, withRecovery) + image.Key()
 }
 
 // runProcesses runs a process and, if it is killed, another one that saves once. The result has the allowed states
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -82,7 +82,7 @@
 type Class struct {
 	Responses float64 `json:"answers"` // number of responses in Mean
 	Mean      float64 `json:"mean_ms"` // mean latency in ms
-	Deviation float64 `json:"dev_ms"`  // mean absolute deviation in ms
+	Deviation float64 `json:"dev_ms"`  // mean deviation in ms
 }
 
 // List is the last endpoint list that the process used.
--- a/internal/streamlimit/streamlimit.go
+++ b/internal/streamlimit/streamlimit.go
@@ -10,9 +10,9 @@
 
 // Limiter limits the streaming responses of one kind. The zero value admits none. It is safe for concurrent use.
 type Limiter struct {
-	MaxOpen      int64         // maximum number of open responses
-	WriteTimeout time.Duration // timeout of one write; replaces the WriteTimeout of the HTTP server
-	open         atomic.Int64  // number of open responses, including one that is about to be rejected
+	MaxOpen       int64         // maximum number of open responses
+	WriteTimeout  time.Duration // timeout of one write; replaces the WriteTimeout of the HTTP server
+	openResponses atomic.Int64  // number of open responses, including one that is about to be rejected
 }
 
 // Serve runs the handler for a streaming response. It responds with 503 if MaxOpen responses are open, and with 405 to
@@ -24,8 +24,8 @@
 		http.Error(w, "method not allowed", http.StatusMethodNotAllowed)
 		return
 	}
-	defer l.open.Add(-1)
-	if l.open.Add(1) > l.MaxOpen {
+	defer l.openResponses.Add(-1)
+	if l.openResponses.Add(1) > l.MaxOpen {
 		http.Error(w, "others watch already", http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/streamlimit/streamlimit_test.go
+++ b/internal/streamlimit/streamlimit_test.go
@@ -81,5 +81,5 @@
 	close(end)
 	require.Equal(t, http.StatusOK, <-status)
 	require.Equal(t, http.StatusOK, <-status)
-	require.Zero(t, limiter.open.Load())
+	require.Zero(t, limiter.openResponses.Load())
 }
