--- a/internal/snapshot/age.go
+++ b/internal/snapshot/age.go
@@ -51,7 +51,7 @@
 	aged := *s
 	aged.List.Age += milliseconds(age.Elapsed)
 	aged.List.Servers = slices.Clone(s.List.Servers)
-	aged.Learned = Learned{Kinds: scaled(s.Learned.Kinds, age.SizeWeight), Zones: scaled(s.Learned.Zones, age.SizeWeight)}
+	aged.Learned = Learned{Kinds: scaledSizes(s.Learned.Kinds, age.SizeWeight), Zones: scaledSizes(s.Learned.Zones, age.SizeWeight)}
 	if age.Known && age.Elapsed <= policy.MaxRateAge {
 		aged.Learned.Rates = s.Learned.Rates
 	}
@@ -99,14 +99,14 @@
 // milliseconds converts a duration to ms.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// scaled returns a new map with the sizes multiplied by a factor, or nil for nil.
-func scaled(sizes map[string]float64, factor float64) map[string]float64 {
+// scaledSizes returns a new map with the sizes multiplied by a factor, or nil for nil.
+func scaledSizes(sizes map[string]float64, factor float64) map[string]float64 {
 	if sizes == nil {
 		return nil
 	}
-	out := make(map[string]float64, len(sizes))
+	result := make(map[string]float64, len(sizes))
 	for name, size := range sizes {
-		out[name] = size * factor
+		result[name] = size * factor
 	}
-	return out
+	return result
 }
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -134,12 +134,12 @@
 		{sectionList, 0, &s.List},
 	}
 	sections := make([]section, 0, len(contents))
-	for _, part := range contents {
-		body, err := json.Marshal(part.value)
+	for _, content := range contents {
+		body, err := json.Marshal(content.value)
 		if err != nil {
-			return nil, fmt.Errorf("encode section %s: %w", part.name, err)
+			return nil, fmt.Errorf("encode section %s: %w", content.name, err)
 		}
-		sections = append(sections, section{part.name, part.flags, body})
+		sections = append(sections, section{content.name, content.flags, body})
 	}
 	return encodeFile(Format, minReaderFormat, s.Seq, sections), nil
 }
@@ -309,19 +309,19 @@
 func decodeState(sections []section) (*Snapshot, error) {
 	s := &Snapshot{}
 	var head *headSection
-	for _, part := range sections {
+	for _, sec := range sections {
 		var err error
-		switch part.name {
+		switch sec.name {
 		case sectionHead:
 			head = &headSection{}
-			err = part.decodeBody(head)
+			err = sec.decodeBody(head)
 		case sectionLearned:
-			err = part.decodeBody(&s.Learned)
+			err = sec.decodeBody(&s.Learned)
 		case sectionList:
-			err = part.decodeBody(&s.List)
+			err = sec.decodeBody(&s.List)
 		default:
-			if part.flags&flagCritical != 0 {
-				err = fmt.Errorf("%w: unknown critical section %q", ErrNewerVersion, part.name)
+			if sec.flags&flagCritical != 0 {
+				err = fmt.Errorf("%w: unknown critical section %q", ErrNewerVersion, sec.name)
 			}
 		}
 		if err != nil {
@@ -344,9 +344,9 @@
 	if err := errors.Join(json.Unmarshal(s.body, &requirements), json.Unmarshal(s.body, into)); err != nil {
 		return &DamageError{Offset: headerBytes, Part: fmt.Sprintf("section %q", s.name), Err: err}
 	}
-	known := jsonKeys(reflect.TypeOf(into).Elem())
+	supportedKeys := jsonKeys(reflect.TypeOf(into).Elem())
 	for _, key := range requirements.Must {
-		if !slices.Contains(known, key) {
+		if !slices.Contains(supportedKeys, key) {
 			return fmt.Errorf("%w: unknown required key %q in section %q", ErrNewerVersion, key, s.name)
 		}
 	}
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -61,12 +61,12 @@
 
 // FileError reports why Load did not use a state file.
 type FileError struct {
-	File string // path
+	Path string
 	Err  error
 }
 
 // Error implements error.
-func (e FileError) Error() string { return fmt.Sprintf("%s: %v", e.File, e.Err) }
+func (e FileError) Error() string { return fmt.Sprintf("%s: %v", e.Path, e.Err) }
 
 // Unwrap returns Err.
 func (e FileError) Unwrap() error { return e.Err }
@@ -184,7 +184,7 @@
 		switch {
 		case errors.Is(err, fs.ErrNotExist):
 		case err != nil:
-			unused = append(unused, FileError{File: s.path(name), Err: err})
+			unused = append(unused, FileError{Path: s.path(name), Err: err})
 		case newest == nil || state.Seq > newest.Seq:
 			newest, s.newestGeneration = state, i
 		}
