--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,11 +1,12 @@
-// Package fault injects faults into a process that the lab cannot cause from outside: a wall clock that is stepped, a
-// disk that is slow, a sync that fails, a system call that fails.
+// Package fault injects faults into a process that the lab cannot cause from outside: a stepped wall clock, a slow
+// disk, a failing sync or a failing system call.
 //
-// A configuration key that only the lab sets names a file of faults. Without it there is no Plan, and a nil Plan injects
-// nothing. The file may be replaced at any time; its content applies from the next call of the Plan on.
+// A configuration key that only the lab sets names the fault file. Without the key there is no Injector, and a nil
+// Injector injects nothing. The fault file may be replaced at any time. Its content applies from the next call of the
+// Injector on.
 //
-// The machine's own clock and disk cannot serve: a step of the clock would reach every process of the machine, and a slow
-// or failing device needs rights that a user of the lab does not have.
+// Faults of the machine's own clock and disk are no alternative: a step of its clock affects every process of the
+// machine, and a slow or failing device needs privileges that a user of the lab does not have.
 package fault
 
 import (
@@ -21,18 +22,18 @@
 	"marblelane/internal/tomlfile"
 )
 
-// SyncFault is how the sync of a write goes wrong. The empty string is no fault.
+// SyncFault is the kind of failure of the sync of a write. The empty string is no fault.
 type SyncFault string
 
-// The faults of a sync, as the file of faults writes them.
+// Values of SyncFault in the fault file.
 const (
-	SyncErrorPersisted SyncFault = "kept"    // it fails, although the write is on the disk
-	SyncErrorLost      SyncFault = "lost"    // it fails, and the write is not on the disk
-	SyncSilentLoss     SyncFault = "unheard" // as SyncErrorLost, but the process is to go on as if it had succeeded
+	SyncErrorPersisted SyncFault = "kept"    // the sync fails, but the write is on the disk
+	SyncErrorLost      SyncFault = "lost"    // the sync fails, and the write is not on the disk
+	SyncSilentLoss     SyncFault = "unheard" // as SyncErrorLost, but the process continues as if the sync had succeeded
 )
 
-// known reports whether a file of faults may have this value.
-func (f SyncFault) known() bool {
+// valid reports whether the value is allowed in a fault file.
+func (f SyncFault) valid() bool {
 	switch f {
 	case "", SyncErrorPersisted, SyncErrorLost, SyncSilentLoss:
 		return true
@@ -40,133 +41,137 @@
 	return false
 }
 
-// ErrSync is the error of a sync that fails by plan.
-var ErrSync = errors.New("planted: the disk does not sync")
+// ErrSync is the error of an injected sync failure.
+var ErrSync = errors.New("injected fault: disk sync failed")
 
-// The system calls that a process asks a Plan for. Not every program asks for all of them.
+// Names of the system calls that can fail. Not every program makes all of them through an Injector.
 const (
 	CallAccept = "accept"
 	CallOpen   = "open"
-	CallWrite  = "write" // by Plan.DiskWrite: the write fails, and nothing of it is on the disk
+	CallWrite  = "write" // injected by DiskWrite: the write fails, and none of it is on the disk
 )
 
-// Set is the content of a file of faults. Durations have a unit.
-type Set struct {
-	Clock tomlfile.Duration `toml:"clock"` // added to the wall clock; may be negative
-	Disk  tomlfile.Duration `toml:"disk"`  // delays each write
-	Sync  SyncFault         `toml:"sync"`
-	// Calls are the system calls that fail, each with the name of its errno: accept = "ENOBUFS".
+// Config is the content of a fault file. Durations in the file have a unit.
+type Config struct {
+	ClockStep tomlfile.Duration `toml:"clock"` // offset added to the wall clock; may be negative
+	DiskDelay tomlfile.Duration `toml:"disk"`  // delay of each write
+	SyncFault SyncFault         `toml:"sync"`
+	// Calls maps each system call that fails to the name of its errno: accept = "ENOBUFS".
 	Calls map[string]string `toml:"calls"`
 }
 
-// NewSet returns a set with faults of the clock and the disk.
-func NewSet(clock, disk time.Duration, sync SyncFault) Set {
-	return Set{Clock: tomlfile.Duration(clock), Disk: tomlfile.Duration(disk), Sync: sync}
+// NewConfig returns a configuration with faults of the clock and the disk.
+func NewConfig(clock, disk time.Duration, sync SyncFault) Config {
+	return Config{ClockStep: tomlfile.Duration(clock), DiskDelay: tomlfile.Duration(disk), SyncFault: sync}
 }
 
-// Write replaces the file of faults at a path atomically.
-func (s Set) Write(path string) error {
+// Write atomically replaces the fault file at a path.
+func (s Config) Write(path string) error {
 	text, err := toml.Marshal(s)
 	if err != nil {
-		return fmt.Errorf("faults: %w", err)
+		return fmt.Errorf("encode fault file: %w", err)
 	}
 	temp := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
 	if err := os.WriteFile(temp, text, 0o644); err != nil {
-		return fmt.Errorf("faults: %w", err)
+		return fmt.Errorf("write fault file: %w", err)
 	}
 	if err := os.Rename(temp, path); err != nil {
-		return fmt.Errorf("faults: %w", err)
+		return fmt.Errorf("replace fault file: %w", err)
 	}
 	return nil
 }
 
-// readSet reads and checks a file of faults.
-func readSet(path string) (Set, error) {
+// readConfig reads and validates a fault file.
+func readConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Set{}, fmt.Errorf("faults: %w", err)
+		return Config{}, fmt.Errorf("read fault file: %w", err)
 	}
-	var set Set
-	if _, err := tomlfile.Decode(path, text, &set); err != nil {
-		return Set{}, fmt.Errorf("faults %w", err)
+	var config Config
+	if _, err := tomlfile.Decode(path, text, &config); err != nil {
+		return Config{}, fmt.Errorf("read fault file: %w", err)
 	}
-	if !set.Sync.known() {
-		return Set{}, fmt.Errorf("faults %s: sync: %q is none of %s, %s, %s", path, set.Sync,
+	if !config.SyncFault.valid() {
+		return Config{}, fmt.Errorf("read fault file %s: sync: %q is not one of %s, %s, %s", path, config.SyncFault,
 			SyncErrorPersisted, SyncErrorLost, SyncSilentLoss)
 	}
-	for call, name := range set.Calls {
+	for call, name := range config.Calls {
 		if _, ok := Errno(name); !ok {
-			return Set{}, fmt.Errorf("faults %s: calls.%s: %q is no errno", path, call, name)
+			return Config{}, fmt.Errorf("read fault file %s: calls.%s: unknown errno %q", path, call, name)
 		}
 	}
-	return set, nil
+	return config, nil
 }
 
-// Plan is a file of faults as the process that it is for reads it. A nil Plan injects nothing. It is safe for concurrent
+// Injector injects the faults of a fault file into a process. A nil Injector injects nothing. It is safe for concurrent
 // use.
-type Plan struct {
+type Injector struct {
 	path string
 
 	mu       sync.Mutex  // guards the fields below
-	readInfo os.FileInfo // of the file that set was read from; nil: there was none
-	set      Set
+	readInfo os.FileInfo // describes the file that config was read from; nil if there was none
+	config   Config
 }
 
-// Open reads a file of faults; without a path there is no plan. A file that does not exist yet injects nothing.
-func Open(path string) (*Plan, error) {
+// Open returns an Injector for a fault file, or nil if the path is empty. A file that does not exist injects no faults.
+func Open(path string) (*Injector, error) {
 	if path == "" {
 		return nil, nil
 	}
-	p := &Plan{path: path}
-	if _, err := p.reload(); err != nil {
+	in := &Injector{path: path}
+	if _, err := in.reload(); err != nil {
 		return nil, err
 	}
-	return p, nil
+	return in, nil
 }
 
-// reload reads the file again if it has been replaced. With an error it returns the set that was read before.
-func (p *Plan) reload() (Set, error) {
-	if p == nil {
-		return Set{}, nil
+// reload reads the fault file again if it has been replaced. It returns the current configuration. If the file cannot
+// be read, that is the previous one, and reload returns an error too.
+func (in *Injector) reload() (Config, error) {
+	if in == nil {
+		return Config{}, nil
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	info, err := os.Stat(p.path)
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	info, err := os.Stat(in.path)
 	if errors.Is(err, os.ErrNotExist) {
-		p.readInfo, p.set = nil, Set{}
-		return p.set, nil
+		in.readInfo, in.config = nil, Config{}
+		return in.config, nil
 	}
 	if err != nil {
-		return p.set, fmt.Errorf("faults: %w", err)
+		return in.config, fmt.Errorf("stat fault file: %w", err)
 	}
-	if p.readInfo != nil && os.SameFile(info, p.readInfo) && info.ModTime().Equal(p.readInfo.ModTime()) {
-		return p.set, nil
+	if in.readInfo != nil && os.SameFile(info, in.readInfo) && info.ModTime().Equal(in.readInfo.ModTime()) {
+		return in.config, nil
 	}
-	set, err := readSet(p.path)
+	config, err := readConfig(in.path)
 	if err != nil {
-		return p.set, err
+		return in.config, err
 	}
-	p.readInfo, p.set = info, set
-	return p.set, nil
+	in.readInfo, in.config = info, config
+	return in.config, nil
 }
 
-// current returns the faults of this moment. If the file cannot be read, the previous ones apply.
-func (p *Plan) current() Set {
-	set, _ := p.reload()
-	return set
+// currentConfig returns the configuration that applies now. If the file cannot be read, it is the previous one.
+func (in *Injector) currentConfig() Config {
+	config, _ := in.reload()
+	return config
 }
 
-// Now returns the wall clock, stepped by the plan. It has no monotonic part: elapsed times are measured by package time.
-func (p *Plan) Now() time.Time { return time.Now().Round(0).Add(time.Duration(p.current().Clock)) }
+// Now returns the wall clock time plus ClockStep. The result has no monotonic part: elapsed times are measured with
+// package time.
+func (in *Injector) Now() time.Time {
+	return time.Now().Round(0).Add(time.Duration(in.currentConfig().ClockStep))
+}
 
-// DiskWrite carries out a write under the faults of the disk. write is called with the error with which it has to undo
-// its changes, or with nil. If silent is true, the caller is to ignore the error.
-func (p *Plan) DiskWrite(write func(undo error) error) (silent bool, err error) {
-	set := p.current()
-	if set.Disk > 0 {
-		time.Sleep(time.Duration(set.Disk))
+// DiskWrite calls write with the injected disk faults applied. If undo is not nil, write has to undo its changes and
+// fail with that error. If silent is true, the caller has to ignore the error.
+func (in *Injector) DiskWrite(write func(undo error) error) (silent bool, err error) {
+	config := in.currentConfig()
+	if config.DiskDelay > 0 {
+		time.Sleep(time.Duration(config.DiskDelay))
 	}
-	switch set.Sync {
+	switch config.SyncFault {
 	case SyncErrorPersisted:
 		return false, errors.Join(write(nil), ErrSync)
 	case SyncErrorLost:
@@ -174,19 +179,19 @@
 	case SyncSilentLoss:
 		return true, write(ErrSync)
 	}
-	if err := p.Call(CallWrite); err != nil {
+	if err := in.CallError(CallWrite); err != nil {
 		return false, write(err)
 	}
 	return false, write(nil)
 }
 
-// Call returns the planned error of a system call, which is not to be made then, or nil if it is to be made. The error is
-// an *os.SyscallError, as from packages net and os.
-func (p *Plan) Call(name string) error {
-	errnoName, planned := p.current().Calls[name]
-	if !planned {
+// CallError returns the injected error of a system call, or nil if the call does not fail. If it returns an error, the
+// caller must not make the system call. The error is an *os.SyscallError, as from packages net and os.
+func (in *Injector) CallError(name string) error {
+	errnoName, configured := in.currentConfig().Calls[name]
+	if !configured {
 		return nil
 	}
-	errno, _ := Errno(errnoName) // readSet has checked the name
+	errno, _ := Errno(errnoName) // readConfig has validated the name
 	return os.NewSyscallError(name, errno)
 }
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -10,57 +10,58 @@
 	"time"
 )
 
-// clockTolerance bounds how long a test may take between two reads of the clock.
+// clockTolerance is the maximum time that a test may take between two reads of the clock.
 const clockTolerance = time.Second
 
-// openPlan opens the plan of a file that does not exist yet.
-func openPlan(t *testing.T) (plan *Plan, path string) {
+// openTestInjector opens an Injector for a fault file that does not exist yet.
+func openTestInjector(t *testing.T) (injector *Injector, path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "faults.toml")
-	plan, err := Open(path)
+	injector, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return plan, path
+	return injector, path
 }
 
-func checkClock(t *testing.T, plan *Plan, step time.Duration) {
+// checkClock checks that the injected clock differs from the real one by step.
+func checkClock(t *testing.T, injector *Injector, step time.Duration) {
 	t.Helper()
-	if off := time.Until(plan.Now()) - step; off > clockTolerance || off < -clockTolerance {
-		t.Errorf("the clock is off by %v, want %v", off+step, step)
+	if off := time.Until(injector.Now()) - step; off > clockTolerance || off < -clockTolerance {
+		t.Errorf("clock is off by %v, want %v", off+step, step)
 	}
 }
 
-func TestPlan_empty(t *testing.T) {
-	withoutFile, _ := openPlan(t)
-	for name, plan := range map[string]*Plan{"nil": nil, "no file": withoutFile} {
+func TestInjector_noFaults(t *testing.T) {
+	withoutFile, _ := openTestInjector(t)
+	for name, injector := range map[string]*Injector{"nil": nil, "no file": withoutFile} {
 		t.Run(name, func(t *testing.T) {
 			undo := errors.New("not called")
-			silent, err := plan.DiskWrite(func(e error) error { undo = e; return nil })
+			silent, err := injector.DiskWrite(func(e error) error { undo = e; return nil })
 			if silent || err != nil || undo != nil {
-				t.Errorf("silent %v, error %v, undo %v, want none", silent, err, undo)
+				t.Errorf("silent %v, error %v, undo %v, want no fault", silent, err, undo)
 			}
-			checkClock(t, plan, 0)
+			checkClock(t, injector, 0)
 		})
 	}
 }
 
-func TestPlan_diskAndClock(t *testing.T) {
-	plan, path := openPlan(t)
+func TestInjector_diskAndClock(t *testing.T) {
+	injector, path := openTestInjector(t)
 	for _, test := range []struct {
 		name                 string
-		set                  Set
+		set                  Config
 		undone, silent, fail bool
-		step                 time.Duration // of the clock
+		step                 time.Duration // of the wall clock
 	}{
-		{name: "write on the disk", set: NewSet(-time.Hour, 0, SyncErrorPersisted), fail: true, step: -time.Hour},
+		{name: "write on the disk", set: NewConfig(-time.Hour, 0, SyncErrorPersisted), fail: true, step: -time.Hour},
 		{
-			name: "write lost", set: NewSet(time.Hour, time.Millisecond, SyncErrorLost),
+			name: "write lost", set: NewConfig(time.Hour, time.Millisecond, SyncErrorLost),
 			undone: true, fail: true, step: time.Hour,
 		},
-		{name: "silent loss", set: NewSet(0, 0, SyncSilentLoss), undone: true, silent: true, fail: true},
-		{name: "no space", set: Set{Calls: map[string]string{CallWrite: "ENOSPC"}}, undone: true, fail: true},
-		{name: "no fault", set: Set{}},
+		{name: "silent loss", set: NewConfig(0, 0, SyncSilentLoss), undone: true, silent: true, fail: true},
+		{name: "no space", set: Config{Calls: map[string]string{CallWrite: "ENOSPC"}}, undone: true, fail: true},
+		{name: "no fault", set: Config{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if err := test.set.Write(path); err != nil {
@@ -68,15 +69,15 @@
 			}
 			var undo error
 			started := time.Now()
-			silent, err := plan.DiskWrite(func(e error) error { undo = e; return e })
+			silent, err := injector.DiskWrite(func(e error) error { undo = e; return e })
 			elapsed := time.Since(started)
 			if (undo != nil) != test.undone || silent != test.silent || (err != nil) != test.fail {
 				t.Errorf("undo %v, silent %v, error %v", undo, silent, err)
 			}
-			if delay := time.Duration(test.set.Disk); elapsed < delay {
-				t.Errorf("the write took %v, want %v at least", elapsed, delay)
+			if delay := time.Duration(test.set.DiskDelay); elapsed < delay {
+				t.Errorf("write took %v, want at least %v", elapsed, delay)
 			}
-			checkClock(t, plan, test.step)
+			checkClock(t, injector, test.step)
 		})
 	}
 }
@@ -100,19 +101,19 @@
 	}
 }
 
-func TestPlan_call(t *testing.T) {
-	plan, path := openPlan(t)
-	if err := plan.Call(CallAccept); err != nil {
-		t.Errorf("nothing is planned: %v", err)
+func TestInjector_callError(t *testing.T) {
+	injector, path := openTestInjector(t)
+	if err := injector.CallError(CallAccept); err != nil {
+		t.Errorf("accept without a fault file: %v", err)
 	}
-	if err := (Set{Calls: map[string]string{CallAccept: "ENOBUFS"}}).Write(path); err != nil {
+	if err := (Config{Calls: map[string]string{CallAccept: "ENOBUFS"}}).Write(path); err != nil {
 		t.Fatal(err)
 	}
 	var callErr *os.SyscallError
-	if err := plan.Call(CallAccept); !errors.Is(err, syscall.ENOBUFS) || !errors.As(err, &callErr) {
+	if err := injector.CallError(CallAccept); !errors.Is(err, syscall.ENOBUFS) || !errors.As(err, &callErr) {
 		t.Errorf("accept: %v", err)
 	}
-	if err := plan.Call(CallOpen); err != nil {
+	if err := injector.CallError(CallOpen); err != nil {
 		t.Errorf("open: %v", err)
 	}
 }
--- a/internal/retry/start_test.go
+++ b/internal/retry/start_test.go
@@ -14,9 +14,10 @@
 	"golang.org/x/sys/unix"
 )
 
-func newTestStart(t *testing.T) *Start {
+// newTestStart returns a StartRetrier that logs nothing.
+func newTestStart(t *testing.T) *StartRetrier {
 	t.Helper()
-	return NewStart(t.Context(), slog.New(slog.DiscardHandler))
+	return NewStartRetrier(t.Context(), slog.New(slog.DiscardHandler))
 }
 
 func TestStart_transientErrno(t *testing.T) {
@@ -63,7 +64,7 @@
 	}
 }
 
-// All calls of a start share one limit, which starts with the first failure.
+// All calls of a StartRetrier share one time limit, which starts with the first failure.
 func TestStart_sharedLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := newTestStart(t)
@@ -88,7 +89,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		started := time.Now()
-		err := NewStart(ctx, slog.New(slog.DiscardHandler)).Do("bind", func() error { return unix.ENFILE })
+		err := NewStartRetrier(ctx, slog.New(slog.DiscardHandler)).Do("bind", func() error { return unix.ENFILE })
 		if !errors.Is(err, context.DeadlineExceeded) || !errors.Is(err, unix.ENFILE) || time.Since(started) != time.Second {
 			t.Errorf("%v after %v", err, time.Since(started))
 		}
