--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -134,7 +134,7 @@
 	r := rand.New(rand.NewPCG(a.Seed, uint64(arrivalIndex)))
 	class := &s.Classes[a.Class]
 	deadline := a.At + s.Scaled(class.Deadline)
-	honorsRetryAfter := r.Float64() < s.Traffic.ObeysRetryAfter
+	honorsRetryAfter := r.Float64() < s.Traffic.RetryAfterFraction
 	for attemptNumber := 1; attemptNumber <= 1+s.Traffic.Retries; attemptNumber++ {
 		noise := 0.9 + 0.2*r.Float64() // factor on the attempt's part of the deadline, drawn for each attempt
 		timeout := min(time.Duration(float64(s.Scaled(class.Deadline))*min(s.Traffic.AttemptTimeoutFraction*noise, 1)), deadline-l.Log.Now())
@@ -193,7 +193,7 @@
 	}
 	sum := record.Sum(body)
 	t.load.Requests.Add(t.id, stock.ClientRequest{Method: method, Class: t.arrival.Class, Tenant: t.arrival.Tenant, Sum: sum,
-		Work: t.arrival.Work, WorkFactor: class.AttemptWorkFactor, Answer: s.Traffic.AnswerBytes})
+		Work: t.arrival.Work, WorkFactor: class.AttemptWorkFactor, Answer: s.Traffic.ResponseBytes})
 	head := fmt.Appendf(nil, "%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Tenant-Id: %s\r\nX-Timeout-Ms: %d\r\n",
 		method, t.id, class.Name, s.Tenants[t.arrival.Tenant].Name, t.timeoutMS())
 	if s.HasRoutes() && !t.arrival.Keyless {
@@ -307,7 +307,7 @@
 	}
 	e := record.Event{Status: int32(resp.StatusCode), Sum: record.Sum(body)}
 	if resp.StatusCode == http.StatusOK {
-		e.Want = record.Sum(stock.Body(t.id, t.load.Plan.Scenario.Traffic.AnswerBytes))
+		e.Want = record.Sum(stock.Body(t.id, t.load.Plan.Scenario.Traffic.ResponseBytes))
 	}
 	t.note(record.Answered, e)
 	if c.in.Buffered() > 0 {
--- a/internal/lab/report/routes.go
+++ b/internal/lab/report/routes.go
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	for _, rule := range s.RulesToCheck() {
+	for _, rule := range s.InvariantsToCheck() {
 		if r.Verdict.Checked[rule] == 0 {
 			out = append(out, fmt.Sprintf("rule %s was held to no case", rule))
 		}
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -45,8 +45,8 @@
 // check finds the first key that makes no sense.
 func (s *Scenario) check() *invalidKey {
 	for _, check := range []func() *invalidKey{
-		s.checkFigures, s.checkServerKinds, s.checkNetwork, s.checkLeaveModes, s.checkClasses, s.checkTenants,
-		s.checkRoutes, s.checkMembers, s.checkFaults, s.checkExpected,
+		s.checkNumbers, s.checkServerKinds, s.checkNetwork, s.checkLeaveModes, s.checkClasses, s.checkTenants,
+		s.checkRoutes, s.checkMembers, s.checkFaults, s.checkExpectedBreaks,
 	} {
 		if e := check(); e != nil {
 			return e
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// checkFigures checks the numbers that stand alone.
-func (s *Scenario) checkFigures() *invalidKey {
+// checkNumbers checks the numbers that stand alone.
+func (s *Scenario) checkNumbers() *invalidKey {
 	return checkBounds(slices.Concat(s.fleetBounds(), s.networkBounds(), s.trafficBounds(), s.listBounds(), s.ruleBounds()))
 }
 
@@ -100,9 +100,9 @@
 		{"traffic.retries", float64(s.Traffic.Retries), 0, 10},
 		{"traffic.backoff", float64(s.Traffic.Backoff), 0, unlimited},
 		{"traffic.try_share", s.Traffic.AttemptTimeoutFraction, 0.01, 1},
-		{"traffic.honour", s.Traffic.ObeysRetryAfter, 0, 1},
+		{"traffic.honour", s.Traffic.RetryAfterFraction, 0, 1},
 		{"traffic.impatient", s.Traffic.EarlyLeaveFraction, 0, 1},
-		{"traffic.answer", float64(s.Traffic.AnswerBytes), 0, maxBytes},
+		{"traffic.answer", float64(s.Traffic.ResponseBytes), 0, maxBytes},
 		{"traffic.pipelined", s.Traffic.PipelinedFraction, 0, 1},
 	}
 }
@@ -295,8 +295,8 @@
 	return nil
 }
 
-// checkExpected checks the names of the invariants that have to be broken.
-func (s *Scenario) checkExpected() *invalidKey {
+// checkExpectedBreaks checks the names of the invariants that have to be broken.
+func (s *Scenario) checkExpectedBreaks() *invalidKey {
 	for i, name := range s.Expect.MustBreak {
 		if !IsInvariant(name) {
 			return invalid(fmt.Sprintf("expect.breaks[%d]", i), "%q is no rule; the rules are %s", name, strings.Join(InvariantNames(), ", "))
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -95,7 +95,7 @@
 	}
 	setDefault(&t.Speedup, 1)
 	setDefault(&t.AttemptTimeoutFraction, 0.5)
-	setDefault(&t.AnswerBytes, 1200)
+	setDefault(&t.ResponseBytes, 1200)
 	if len(t.LeaveModes) == 0 {
 		t.LeaveModes = []string{LeaveClose}
 	}
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -98,7 +98,7 @@
 		out.Servers = slices.DeleteFunc(out.Servers, func(i int) bool { return zones[p.Servers[i].Zone] != f.Zone })
 	}
 	if f.Sidecars != "" {
-		out.Sidecars = p.withoutUnstarted(p.selectSidecars(r, f.Sidecars, len(p.Sidecars)), f.Kind, out.At)
+		out.Sidecars = p.dropUnstarted(p.selectSidecars(r, f.Sidecars, len(p.Sidecars)), f.Kind, out.At)
 	}
 	if f.Kind == FaultReplace {
 		out.Replacements = p.addSpares(out.Servers)
@@ -109,7 +109,7 @@
 // occurrences lists the times at which a fault happens: once, at one sidecar after another, or in each period.
 func (p *Plan) occurrences(first FaultPlan) []FaultPlan {
 	kind, every := findFaultKind(first.Fault.Kind), first.Fault.Every.Duration()
-	if kind.timing == oneAfterOther {
+	if kind.timing == staggered {
 		var out []FaultPlan
 		for k, sidecar := range first.Sidecars {
 			next := first
@@ -127,7 +127,7 @@
 	for at := first.At; at < first.Until; at += every {
 		next := first
 		next.At, next.Until = at, at
-		if kind.timing == lasts {
+		if kind.timing == hasDuration {
 			next.Until = min(at+every/2, first.Until)
 		}
 		out = append(out, next)
@@ -136,15 +136,15 @@
 }
 
 // addSpares adds a machine like each of the servers, under a name of its own.
-func (p *Plan) addSpares(like []int) []int {
-	var fresh []int
-	for _, i := range like {
+func (p *Plan) addSpares(replaced []int) []int {
+	var spares []int
+	for _, i := range replaced {
 		sp := p.Servers[i]
 		sp.UID, sp.Spare = fmt.Sprintf("%s-%d", sp.UID, len(p.Servers)), true
-		fresh = append(fresh, len(p.Servers))
+		spares = append(spares, len(p.Servers))
 		p.Servers = append(p.Servers, sp)
 	}
-	return fresh
+	return spares
 }
 
 func (p *Plan) drawArrivals(r *rand.Rand) {
@@ -177,7 +177,7 @@
 		}
 		p.Arrivals = append(p.Arrivals, p.drawArrival(r, t, p.runningSidecar(p.drawSidecar(r), t), classTotal, tenantTotal))
 	}
-	p.drawRushes(stream(p.Seed, "rushes"), classTotal, tenantTotal)
+	p.drawRushes(randomSource(p.Seed, "rushes"), classTotal, tenantTotal)
 }
 
 // drawRushes adds the requests of rushes, each to one sidecar.
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -9,26 +9,26 @@
 
 // Fault is one fault that is injected, for a while or for good.
 type Fault struct {
-	At          Duration `toml:"at"`
-	For         Duration `toml:"for"` // 0: it happens once, or stays
-	Kind        string   `toml:"kind"`
-	Servers     string   `toml:"servers"`  // a selector: all, 3, 20%, #4, zone:name, pod:1, kind:name
-	Replicas    string   `toml:"copies"`   // of the list service: leader, follower, majority, all, #1
-	Sidecars    string   `toml:"sidecars"` // a selector
-	Size        float64  `toml:"size"`
-	Direction   string   `toml:"way"`     // of a cut
-	Latency     Duration `toml:"latency"` // of a slow link
-	Every       Duration `toml:"every"`   // it repeats after this, until For is over
-	Link        string   `toml:"link"`    // which links of the sidecars: LinkServers (default) or LinkDiscovery
-	List        string   `toml:"list"`    // which list service: all (default), #1
-	Fraction    float64  `toml:"share"`   // of new connections that come up late; 0: all
-	RandomDelay bool     `toml:"drawn"`   // the delay of each connection is drawn between 0 and the size
-	Unnoticed   bool     `toml:"silent"`  // idle connections are dropped without a close: what is written to them is reset
-	KeepServing bool     `toml:"stay"`    // servers that drain stay up and serve what comes
-	Classes     []string `toml:"classes"` // of requests that a fail or slow concerns; empty: all
-	Call        string   `toml:"call"`    // the system call that fails: fault.CallAccept or fault.CallOpen
-	Errno       string   `toml:"errno"`   // how the system call fails, by the name of its errno
-	Zone        string   `toml:"zone"`    // of the servers only those of this zone; empty: of all
+	At           Duration `toml:"at"`
+	For          Duration `toml:"for"` // 0: it happens once, or stays
+	Kind         string   `toml:"kind"`
+	Servers      string   `toml:"servers"`  // a selector: all, 3, 20%, #4, zone:name, pod:1, kind:name
+	Replicas     string   `toml:"copies"`   // of the list service: leader, follower, majority, all, #1
+	Sidecars     string   `toml:"sidecars"` // a selector
+	Size         float64  `toml:"size"`
+	Direction    string   `toml:"way"`     // of a cut
+	Latency      Duration `toml:"latency"` // of a slow link
+	Every        Duration `toml:"every"`   // it repeats after this, until For is over
+	Link         string   `toml:"link"`    // which links of the sidecars: LinkServers (default) or LinkDiscovery
+	List         string   `toml:"list"`    // which list service: all (default), #1
+	Fraction     float64  `toml:"share"`   // of new connections that come up late; 0: all
+	RandomDelay  bool     `toml:"drawn"`   // the delay of each connection is drawn between 0 and the size
+	DropSilently bool     `toml:"silent"`  // idle connections are dropped without a close: what is written to them is reset
+	KeepServing  bool     `toml:"stay"`    // servers that drain stay up and serve what comes
+	Classes      []string `toml:"classes"` // of requests that a fail or slow concerns; empty: all
+	Call         string   `toml:"call"`    // the system call that fails: fault.CallAccept or fault.CallOpen
+	Errno        string   `toml:"errno"`   // how the system call fails, by the name of its errno
+	Zone         string   `toml:"zone"`    // of the servers only those of this zone; empty: of all
 }
 
 // The links of sidecars that a fault can act on.
@@ -53,13 +53,13 @@
 	if kind.replicas {
 		setDefault(&f.Replicas, selectLeader)
 	}
-	if kind.takes(keyWay, f) {
+	if kind.acceptsKey(keyDirection, f) {
 		setDefault(&f.Direction, DirectionBoth)
 	}
-	if kind.takes(keyFraction, f) {
+	if kind.acceptsKey(keyFraction, f) {
 		setDefault(&f.Fraction, 1)
 	}
-	if kind.takes(keyList, f) {
+	if kind.acceptsKey(keyList, f) {
 		setDefault(&f.List, selectAll)
 	}
 }
@@ -83,8 +83,8 @@
 		return invalid(key+".size", "is set, but %s has none", withArticle(f.Kind))
 	case kind.size != nil && !kind.size.contains(f.Size):
 		return invalid(key+".size", "is not between %g and %g", kind.size[0], kind.size[1])
-	case !kind.runs.is(s):
-		return invalid(key+".kind", "%s %s", withArticle(f.Kind), kind.runs.required)
+	case !kind.runType.includes(s):
+		return invalid(key+".kind", "%s %s", withArticle(f.Kind), kind.runType.mismatch)
 	}
 	return nil
 }
@@ -97,15 +97,15 @@
 		return invalid(key+".at", "lies outside the run")
 	case f.For < 0:
 		return invalid(key+".for", "is negative")
-	case kind.timing == lasts && f.For == 0:
+	case kind.timing == hasDuration && f.For == 0:
 		return invalid(key+".for", "is missing: %s lasts", noun)
-	case kind.timing != lasts && f.For > 0 && f.Every == 0:
+	case kind.timing != hasDuration && f.For > 0 && f.Every == 0:
 		return invalid(key+".for", "is set, but %s happens once", noun)
 	case f.Kind == FaultReplace && f.Every > 0:
 		return invalid(key+".every", "is set, but a server is replaced once")
-	case kind.timing == oneAfterOther && (f.Every <= 0 || f.For != 0):
+	case kind.timing == staggered && (f.Every <= 0 || f.For != 0):
 		return invalid(key+".every", "is over 0, and for is not set, for %s: the time from one sidecar to the next", noun)
-	case f.Every < 0 || f.Every > 0 && f.For == 0 && kind.timing != oneAfterOther:
+	case f.Every < 0 || f.Every > 0 && f.For == 0 && kind.timing != staggered:
 		return invalid(key+".every", "is negative, or there is no time in which it comes again")
 	}
 	return nil
@@ -118,9 +118,9 @@
 	}
 	for _, k := range faultKeys {
 		path := key + "." + k.name
-		switch set, takes := k.isSet(f), kind.takes(k, f); {
+		switch set, takes := k.isSet(f), kind.acceptsKey(k, f); {
 		case set && !takes:
-			return invalid(path, "is set, but only %s takes it", kindsThatTake(k))
+			return invalid(path, "is set, but only %s takes it", kindsWithKey(k))
 		case takes && !set && k.required:
 			return invalid(path, "is missing: %s needs it", withArticle(f.Kind))
 		case !set || k.check == nil:
--- a/internal/lab/scenario/fault_keys.go
+++ b/internal/lab/scenario/fault_keys.go
@@ -18,7 +18,7 @@
 }
 
 var (
-	keyWay = &faultKey{
+	keyDirection = &faultKey{
 		name:  "way",
 		isSet: func(f *Fault) bool { return f.Direction != "" },
 		check: func(_ *Scenario, f *Fault, kind *faultKind) error {
@@ -49,10 +49,10 @@
 			return nil
 		},
 	}
-	keyDrawn   = &faultKey{name: "drawn", isSet: func(f *Fault) bool { return f.RandomDelay }}
-	keySilent  = &faultKey{name: "silent", isSet: func(f *Fault) bool { return f.Unnoticed }}
-	keyStay    = &faultKey{name: "stay", isSet: func(f *Fault) bool { return f.KeepServing }}
-	keyClasses = &faultKey{
+	keyRandomDelay  = &faultKey{name: "drawn", isSet: func(f *Fault) bool { return f.RandomDelay }}
+	keyDropSilently = &faultKey{name: "silent", isSet: func(f *Fault) bool { return f.DropSilently }}
+	keyKeepServing  = &faultKey{name: "stay", isSet: func(f *Fault) bool { return f.KeepServing }}
+	keyClasses      = &faultKey{
 		name:  "classes",
 		isSet: func(f *Fault) bool { return len(f.Classes) > 0 },
 		check: func(s *Scenario, f *Fault, _ *faultKind) error {
@@ -91,22 +91,22 @@
 		name:  "list",
 		isSet: func(f *Fault) bool { return f.List != "" },
 		check: func(s *Scenario, f *Fault, _ *faultKind) error {
-			if services := max(s.Discovery.Services, s.Discovery.RegistryReplicas); f.List != selectAll && !isNumbered(f.List, services) {
+			if services := max(s.Discovery.Services, s.Discovery.RegistryReplicas); f.List != selectAll && !isNumberSelector(f.List, services) {
 				return fmt.Errorf("%q is neither all nor #0 to #%d", f.List, services-1)
 			}
 			return nil
 		},
 	}
-	faultKeys = []*faultKey{keyWay, keyLatency, keyFraction, keyDrawn, keySilent, keyStay, keyClasses, keyCall, keyErrno, keyList}
+	faultKeys = []*faultKey{keyDirection, keyLatency, keyFraction, keyRandomDelay, keyDropSilently, keyKeepServing, keyClasses, keyCall, keyErrno, keyList}
 )
 
-// takes tells whether a fault of this kind may have a key.
-func (k *faultKind) takes(key *faultKey, f *Fault) bool {
+// acceptsKey tells whether a fault of this kind may have a key.
+func (k *faultKind) acceptsKey(key *faultKey, f *Fault) bool {
 	return slices.Contains(k.keys, key) || key == keyList && f.Link == LinkDiscovery
 }
 
-// kindsThatTake lists the kinds of faults that have a key: "a fail or slow".
-func kindsThatTake(key *faultKey) string {
+// kindsWithKey lists the kinds of faults that have a key: "a fail or slow".
+func kindsWithKey(key *faultKey) string {
 	var names []string
 	for i := range faultKinds {
 		if k := &faultKinds[i]; slices.Contains(k.keys, key) {
--- a/internal/lab/scenario/fault_kinds.go
+++ b/internal/lab/scenario/fault_kinds.go
@@ -6,20 +6,20 @@
 
 // The kinds of faults of servers.
 const (
-	FaultSlow         = "slow"
-	FaultFail         = "fail"
-	FaultHang         = "hang"
-	FaultDrop         = "drop"
-	FaultKill         = "kill"
-	FaultRestart      = "restart"
-	FaultDrain        = "drain"
-	FaultReplace      = "replace"
-	FaultVanish       = "vanish"
-	FaultIdleClose    = "idle-close"
-	FaultResetStarted = "reset-begun"
-	FaultExtraAnswer  = "second-answer"
-	FaultRejectLate   = "turn-away"
-	FaultServerClock  = "server-clock"
+	FaultSlow          = "slow"
+	FaultFail          = "fail"
+	FaultHang          = "hang"
+	FaultDrop          = "drop"
+	FaultKill          = "kill"
+	FaultRestart       = "restart"
+	FaultDrain         = "drain"
+	FaultReplace       = "replace"
+	FaultVanish        = "vanish"
+	FaultIdleClose     = "idle-close"
+	FaultResetStarted  = "reset-begun"
+	FaultExtraResponse = "second-answer"
+	FaultRejectLate    = "turn-away"
+	FaultServerClock   = "server-clock"
 )
 
 // The kinds of faults of links.
@@ -100,8 +100,8 @@
 	DefectSendOften           = "defect-send-often"
 	DefectForwardFullDeadline = "defect-tell-whole"
 	DefectInvent              = "defect-invent"
-	DefectLoseAnswer          = "defect-lose-answer"
-	DefectAnswerTwice         = "defect-answer-twice"
+	DefectLoseResponse        = "defect-lose-answer"
+	DefectRespondTwice        = "defect-answer-twice"
 	DefectWrongBody           = "defect-wrong-body"
 	DefectListLate            = "defect-told-late"
 	DefectIgnoreDrain         = "defect-ignore-drain"
@@ -119,9 +119,9 @@
 type faultTiming int
 
 const (
-	happensOnce   faultTiming = iota
-	lasts                     // it needs `for`
-	oneAfterOther             // it comes to one sidecar after another, `every` apart
+	happensOnce faultTiming = iota
+	hasDuration             // it needs `for`
+	staggered               // it comes to one sidecar after another, `every` apart
 )
 
 // faultKind is one kind of fault.
@@ -135,7 +135,7 @@
 	size       *Range      // what `size` may be; nil: it has none
 	keys       []*faultKey // the further keys that it takes
 	directions []string    // what `way` may be, of a kind that takes it
-	runs       *runType    // the runs that can have it
+	runType    *runType    // the runs that can have it
 	simulated  bool        // simulated runs play it, too
 }
 
@@ -151,9 +151,9 @@
 	cutDirections    = []string{DirectionTo, DirectionFrom, DirectionBoth}
 	memberDirections = []string{DirectionTo, DirectionFrom, DirectionBoth, DirectionIn}
 
-	fraction  = &Range{0, 1}
-	upTo10Min = &Range{0, 600}    // seconds
-	clockStep = &Range{-1e6, 1e6} // seconds
+	fractionRange  = &Range{0, 1}
+	delayRange     = &Range{0, 600}    // seconds
+	clockStepRange = &Range{-1e6, 1e6} // seconds
 )
 
 const maxLinkBytes = 1e12
@@ -161,129 +161,129 @@
 // faultKinds are all kinds of faults. What a real run does for each stands in package lab, what a simulated one does in
 // package simulate.
 var faultKinds = []faultKind{
-	{name: FaultFail, servers: true, timing: lasts, size: fraction, keys: []*faultKey{keyClasses}, runs: sidecarRuns, simulated: true},
-	{name: FaultSlow, servers: true, timing: lasts, size: &Range{1, 1000}, keys: []*faultKey{keyClasses}, runs: sidecarRuns, simulated: true},
-	{name: FaultHang, servers: true, timing: lasts, runs: sidecarRuns, simulated: true},
-	{name: FaultDrop, servers: true, timing: lasts, size: fraction, runs: sidecarRuns, simulated: true},
-	{name: FaultKill, servers: true, runs: sidecarRuns, simulated: true},
-	{name: FaultRestart, servers: true, timing: lasts, runs: sidecarRuns, simulated: true},
-	{name: FaultDrain, servers: true, keys: []*faultKey{keyStay}, runs: sidecarRuns, simulated: true},
-	{name: FaultReplace, servers: true, runs: sidecarRuns, simulated: true},
-	{name: FaultVanish, servers: true, timing: lasts, runs: sidecarRuns, simulated: true},
-	{name: FaultIdleClose, servers: true, timing: lasts, size: &Range{0.01, 600}, keys: []*faultKey{keySilent}, runs: sidecarRuns},
-	{name: FaultResetStarted, servers: true, timing: lasts, size: fraction, runs: sidecarRuns},
-	{name: FaultExtraAnswer, servers: true, timing: lasts, size: fraction, runs: sidecarRuns},
-	{name: FaultRejectLate, servers: true, timing: lasts, size: fraction, runs: sidecarRuns},
-	{name: FaultServerClock, timing: lasts, size: clockStep, runs: sidecarRuns},
+	{name: FaultFail, servers: true, timing: hasDuration, size: fractionRange, keys: []*faultKey{keyClasses}, runType: sidecarRuns, simulated: true},
+	{name: FaultSlow, servers: true, timing: hasDuration, size: &Range{1, 1000}, keys: []*faultKey{keyClasses}, runType: sidecarRuns, simulated: true},
+	{name: FaultHang, servers: true, timing: hasDuration, runType: sidecarRuns, simulated: true},
+	{name: FaultDrop, servers: true, timing: hasDuration, size: fractionRange, runType: sidecarRuns, simulated: true},
+	{name: FaultKill, servers: true, runType: sidecarRuns, simulated: true},
+	{name: FaultRestart, servers: true, timing: hasDuration, runType: sidecarRuns, simulated: true},
+	{name: FaultDrain, servers: true, keys: []*faultKey{keyKeepServing}, runType: sidecarRuns, simulated: true},
+	{name: FaultReplace, servers: true, runType: sidecarRuns, simulated: true},
+	{name: FaultVanish, servers: true, timing: hasDuration, runType: sidecarRuns, simulated: true},
+	{name: FaultIdleClose, servers: true, timing: hasDuration, size: &Range{0.01, 600}, keys: []*faultKey{keyDropSilently}, runType: sidecarRuns},
+	{name: FaultResetStarted, servers: true, timing: hasDuration, size: fractionRange, runType: sidecarRuns},
+	{name: FaultExtraResponse, servers: true, timing: hasDuration, size: fractionRange, runType: sidecarRuns},
+	{name: FaultRejectLate, servers: true, timing: hasDuration, size: fractionRange, runType: sidecarRuns},
+	{name: FaultServerClock, timing: hasDuration, size: clockStepRange, runType: sidecarRuns},
 
-	{name: FaultCut, servers: true, sidecars: true, timing: lasts, keys: []*faultKey{keyWay}, directions: cutDirections, runs: sidecarRuns, simulated: true},
-	{name: FaultLatency, servers: true, sidecars: true, timing: lasts, keys: []*faultKey{keyLatency}, runs: sidecarRuns, simulated: true},
-	{name: FaultBandwidth, servers: true, sidecars: true, timing: lasts, size: &Range{1, maxLinkBytes}, runs: sidecarRuns},
-	{name: FaultLose, servers: true, sidecars: true, timing: lasts, size: fraction, runs: sidecarRuns, simulated: true},
-	{name: FaultReset, servers: true, sidecars: true, runs: sidecarRuns},
-	{name: FaultReject, servers: true, sidecars: true, timing: lasts, runs: sidecarRuns, simulated: true},
-	{name: FaultHalfClose, servers: true, sidecars: true, timing: lasts, runs: sidecarRuns},
-	{name: FaultBreak, servers: true, sidecars: true, timing: lasts, size: &Range{1, maxLinkBytes}, runs: sidecarRuns},
-	{name: FaultAcceptLate, servers: true, sidecars: true, timing: lasts, size: &Range{0.001, 60}, keys: []*faultKey{keyFraction, keyDrawn}, runs: sidecarRuns},
+	{name: FaultCut, servers: true, sidecars: true, timing: hasDuration, keys: []*faultKey{keyDirection}, directions: cutDirections, runType: sidecarRuns, simulated: true},
+	{name: FaultLatency, servers: true, sidecars: true, timing: hasDuration, keys: []*faultKey{keyLatency}, runType: sidecarRuns, simulated: true},
+	{name: FaultBandwidth, servers: true, sidecars: true, timing: hasDuration, size: &Range{1, maxLinkBytes}, runType: sidecarRuns},
+	{name: FaultLose, servers: true, sidecars: true, timing: hasDuration, size: fractionRange, runType: sidecarRuns, simulated: true},
+	{name: FaultReset, servers: true, sidecars: true, runType: sidecarRuns},
+	{name: FaultReject, servers: true, sidecars: true, timing: hasDuration, runType: sidecarRuns, simulated: true},
+	{name: FaultHalfClose, servers: true, sidecars: true, timing: hasDuration, runType: sidecarRuns},
+	{name: FaultBreak, servers: true, sidecars: true, timing: hasDuration, size: &Range{1, maxLinkBytes}, runType: sidecarRuns},
+	{name: FaultAcceptLate, servers: true, sidecars: true, timing: hasDuration, size: &Range{0.001, 60}, keys: []*faultKey{keyFraction, keyRandomDelay}, runType: sidecarRuns},
 
-	{name: FaultSidecarKill, sidecars: true, processes: true, timing: lasts, runs: sidecarRuns},
-	{name: FaultSidecarRestart, sidecars: true, processes: true, runs: sidecarRuns},
-	{name: FaultSidecarTerm, sidecars: true, processes: true, timing: oneAfterOther, runs: sidecarRuns},
-	{name: FaultSidecarFreeze, sidecars: true, processes: true, timing: lasts, runs: sidecarRuns},
-	{name: FaultSidecarUpgrade, sidecars: true, processes: true, runs: sidecarRuns},
-	{name: FaultSidecarClock, sidecars: true, processes: true, timing: lasts, size: clockStep, runs: sidecarRuns},
-	{name: FaultSidecarCall, sidecars: true, processes: true, timing: lasts, keys: []*faultKey{keyCall, keyErrno}, runs: sidecarRuns},
+	{name: FaultSidecarKill, sidecars: true, processes: true, timing: hasDuration, runType: sidecarRuns},
+	{name: FaultSidecarRestart, sidecars: true, processes: true, runType: sidecarRuns},
+	{name: FaultSidecarTerm, sidecars: true, processes: true, timing: staggered, runType: sidecarRuns},
+	{name: FaultSidecarFreeze, sidecars: true, processes: true, timing: hasDuration, runType: sidecarRuns},
+	{name: FaultSidecarUpgrade, sidecars: true, processes: true, runType: sidecarRuns},
+	{name: FaultSidecarClock, sidecars: true, processes: true, timing: hasDuration, size: clockStepRange, runType: sidecarRuns},
+	{name: FaultSidecarCall, sidecars: true, processes: true, timing: hasDuration, keys: []*faultKey{keyCall, keyErrno}, runType: sidecarRuns},
 
-	{name: FaultListLate, sidecars: true, timing: lasts, size: upTo10Min, keys: []*faultKey{keyList}, runs: standInRuns},
-	{name: FaultListSilent, sidecars: true, timing: lasts, keys: []*faultKey{keyList}, runs: standInRuns},
-	{name: FaultListSilenceWatches, sidecars: true, keys: []*faultKey{keyList}, runs: standInRuns},
-	{name: FaultListReject, sidecars: true, timing: lasts, keys: []*faultKey{keyList}, runs: standInRuns},
-	{name: FaultListMigrate, runs: standInRuns},
-	{name: FaultListEmpty, sidecars: true, timing: lasts, keys: []*faultKey{keyList}, runs: standInRuns},
-	{name: FaultListHalf, sidecars: true, timing: lasts, size: fraction, keys: []*faultKey{keyList}, runs: standInRuns},
-	{name: FaultListStuck, sidecars: true, timing: lasts, keys: []*faultKey{keyList}, runs: standInRuns},
-	{name: FaultListFreeze, sidecars: true, timing: lasts, keys: []*faultKey{keyList}, runs: standInRuns},
-	{name: FaultListBig, sidecars: true, timing: lasts, keys: []*faultKey{keyList}, runs: standInRuns},
-	{name: FaultListEnd, sidecars: true, timing: lasts, keys: []*faultKey{keyList}, runs: standInRuns},
-	{name: FaultListComplete, sidecars: true, timing: lasts, keys: []*faultKey{keyList}, runs: standInRuns},
-	{name: FaultListPieces, sidecars: true, timing: lasts, size: &Range{1, 1e6}, keys: []*faultKey{keyList}, runs: standInRuns},
-	{name: FaultEntriesLost, timing: lasts, size: fraction, runs: realListRuns},
+	{name: FaultListLate, sidecars: true, timing: hasDuration, size: delayRange, keys: []*faultKey{keyList}, runType: standInRuns},
+	{name: FaultListSilent, sidecars: true, timing: hasDuration, keys: []*faultKey{keyList}, runType: standInRuns},
+	{name: FaultListSilenceWatches, sidecars: true, keys: []*faultKey{keyList}, runType: standInRuns},
+	{name: FaultListReject, sidecars: true, timing: hasDuration, keys: []*faultKey{keyList}, runType: standInRuns},
+	{name: FaultListMigrate, runType: standInRuns},
+	{name: FaultListEmpty, sidecars: true, timing: hasDuration, keys: []*faultKey{keyList}, runType: standInRuns},
+	{name: FaultListHalf, sidecars: true, timing: hasDuration, size: fractionRange, keys: []*faultKey{keyList}, runType: standInRuns},
+	{name: FaultListStuck, sidecars: true, timing: hasDuration, keys: []*faultKey{keyList}, runType: standInRuns},
+	{name: FaultListFreeze, sidecars: true, timing: hasDuration, keys: []*faultKey{keyList}, runType: standInRuns},
+	{name: FaultListBig, sidecars: true, timing: hasDuration, keys: []*faultKey{keyList}, runType: standInRuns},
+	{name: FaultListEnd, sidecars: true, timing: hasDuration, keys: []*faultKey{keyList}, runType: standInRuns},
+	{name: FaultListComplete, sidecars: true, timing: hasDuration, keys: []*faultKey{keyList}, runType: standInRuns},
+	{name: FaultListPieces, sidecars: true, timing: hasDuration, size: &Range{1, 1e6}, keys: []*faultKey{keyList}, runType: standInRuns},
+	{name: FaultEntriesLost, timing: hasDuration, size: fractionRange, runType: realListRuns},
 
-	{name: FaultBurst, timing: lasts, size: &Range{0, 100}, runs: sidecarRuns, simulated: true},
-	{name: FaultRush, sidecars: true, timing: oneAfterOther, size: &Range{1, 1000}, runs: sidecarRuns},
-	{name: FaultIdleFill, sidecars: true, timing: lasts, size: &Range{1, 2000}, runs: sidecarRuns},
-	{name: FaultLeave, sidecars: true, size: fraction, runs: sidecarRuns},
+	{name: FaultBurst, timing: hasDuration, size: &Range{0, 100}, runType: sidecarRuns, simulated: true},
+	{name: FaultRush, sidecars: true, timing: staggered, size: &Range{1, 1000}, runType: sidecarRuns},
+	{name: FaultIdleFill, sidecars: true, timing: hasDuration, size: &Range{1, 2000}, runType: sidecarRuns},
+	{name: FaultLeave, sidecars: true, size: fractionRange, runType: sidecarRuns},
 
-	{name: FaultReplicaKill, replicas: true, timing: lasts, runs: replicaRuns},
-	{name: FaultReplicaFreeze, replicas: true, timing: lasts, runs: replicaRuns},
-	{name: FaultReplicaCut, replicas: true, timing: lasts, keys: []*faultKey{keyWay}, directions: cutDirections, runs: replicaRuns},
-	{name: FaultReplicaDiskFull, replicas: true, timing: lasts, runs: replicaRuns},
-	{name: FaultReplicaDiskLost, replicas: true, timing: lasts, runs: replicaRuns},
-	{name: FaultReplicaDiskSlow, replicas: true, timing: lasts, size: &Range{0, 60}, runs: replicaRuns},
-	{name: FaultReplicaSyncWritten, replicas: true, timing: lasts, runs: replicaRuns},
-	{name: FaultReplicaSyncLost, replicas: true, timing: lasts, runs: replicaRuns},
-	{name: FaultReplicaClock, replicas: true, timing: lasts, size: clockStep, runs: replicaRuns},
+	{name: FaultReplicaKill, replicas: true, timing: hasDuration, runType: replicaRuns},
+	{name: FaultReplicaFreeze, replicas: true, timing: hasDuration, runType: replicaRuns},
+	{name: FaultReplicaCut, replicas: true, timing: hasDuration, keys: []*faultKey{keyDirection}, directions: cutDirections, runType: replicaRuns},
+	{name: FaultReplicaDiskFull, replicas: true, timing: hasDuration, runType: replicaRuns},
+	{name: FaultReplicaDiskLost, replicas: true, timing: hasDuration, runType: replicaRuns},
+	{name: FaultReplicaDiskSlow, replicas: true, timing: hasDuration, size: &Range{0, 60}, runType: replicaRuns},
+	{name: FaultReplicaSyncWritten, replicas: true, timing: hasDuration, runType: replicaRuns},
+	{name: FaultReplicaSyncLost, replicas: true, timing: hasDuration, runType: replicaRuns},
+	{name: FaultReplicaClock, replicas: true, timing: hasDuration, size: clockStepRange, runType: replicaRuns},
 
-	{name: FaultMembersCut, sidecars: true, timing: lasts, keys: []*faultKey{keyWay}, directions: memberDirections, runs: memberRuns},
-	{name: FaultMembersLose, sidecars: true, timing: lasts, size: fraction, runs: memberRuns},
-	{name: FaultMembersSlow, sidecars: true, timing: lasts, keys: []*faultKey{keyLatency}, runs: memberRuns},
-	{name: FaultMembersReject, sidecars: true, timing: lasts, runs: memberRuns},
+	{name: FaultMembersCut, sidecars: true, timing: hasDuration, keys: []*faultKey{keyDirection}, directions: memberDirections, runType: memberRuns},
+	{name: FaultMembersLose, sidecars: true, timing: hasDuration, size: fractionRange, runType: memberRuns},
+	{name: FaultMembersSlow, sidecars: true, timing: hasDuration, keys: []*faultKey{keyLatency}, runType: memberRuns},
+	{name: FaultMembersReject, sidecars: true, timing: hasDuration, runType: memberRuns},
 
-	{name: DefectSendTwice, sidecars: true, timing: lasts, runs: allRuns},
-	{name: DefectSendAgain, sidecars: true, timing: lasts, runs: allRuns},
-	{name: DefectSendOften, sidecars: true, timing: lasts, runs: allRuns},
-	{name: DefectForwardFullDeadline, sidecars: true, timing: lasts, runs: allRuns},
-	{name: DefectInvent, sidecars: true, timing: lasts, runs: allRuns},
-	{name: DefectLoseAnswer, sidecars: true, timing: lasts, runs: allRuns},
-	{name: DefectAnswerTwice, sidecars: true, timing: lasts, runs: allRuns},
-	{name: DefectWrongBody, servers: true, timing: lasts, runs: allRuns},
-	{name: DefectListLate, sidecars: true, timing: lasts, size: upTo10Min, runs: standInDefectRuns},
-	{name: DefectIgnoreDrain, sidecars: true, timing: lasts, runs: standInDefectRuns},
-	{name: DefectUndoRollback, timing: lasts, runs: routeRuns},
-	{name: DefectEndEarly, sidecars: true, timing: lasts, runs: allRuns},
-	{name: DefectIgnoreTerm, sidecars: true, timing: lasts, runs: allRuns},
-	{name: DefectReadyLate, sidecars: true, timing: lasts, size: upTo10Min, runs: allRuns},
-	{name: DefectIgnoreDiskError, replicas: true, timing: lasts, runs: allRuns},
-	{name: DefectStaleRead, timing: lasts, runs: allRuns},
-	{name: DefectSkippedLine, timing: lasts, runs: allRuns},
-	{name: DefectClaimFresh, timing: lasts, runs: allRuns},
+	{name: DefectSendTwice, sidecars: true, timing: hasDuration, runType: allRuns},
+	{name: DefectSendAgain, sidecars: true, timing: hasDuration, runType: allRuns},
+	{name: DefectSendOften, sidecars: true, timing: hasDuration, runType: allRuns},
+	{name: DefectForwardFullDeadline, sidecars: true, timing: hasDuration, runType: allRuns},
+	{name: DefectInvent, sidecars: true, timing: hasDuration, runType: allRuns},
+	{name: DefectLoseResponse, sidecars: true, timing: hasDuration, runType: allRuns},
+	{name: DefectRespondTwice, sidecars: true, timing: hasDuration, runType: allRuns},
+	{name: DefectWrongBody, servers: true, timing: hasDuration, runType: allRuns},
+	{name: DefectListLate, sidecars: true, timing: hasDuration, size: delayRange, runType: standInDefectRuns},
+	{name: DefectIgnoreDrain, sidecars: true, timing: hasDuration, runType: standInDefectRuns},
+	{name: DefectUndoRollback, timing: hasDuration, runType: routeRuns},
+	{name: DefectEndEarly, sidecars: true, timing: hasDuration, runType: allRuns},
+	{name: DefectIgnoreTerm, sidecars: true, timing: hasDuration, runType: allRuns},
+	{name: DefectReadyLate, sidecars: true, timing: hasDuration, size: delayRange, runType: allRuns},
+	{name: DefectIgnoreDiskError, replicas: true, timing: hasDuration, runType: allRuns},
+	{name: DefectStaleRead, timing: hasDuration, runType: allRuns},
+	{name: DefectSkippedLine, timing: hasDuration, runType: allRuns},
+	{name: DefectClaimFresh, timing: hasDuration, runType: allRuns},
 }
 
 // runType is a type of run that some kinds of faults are limited to.
 type runType struct {
-	is       func(s *Scenario) bool
-	required string // what is missing where it is not
+	includes func(s *Scenario) bool
+	mismatch string // what is missing where it is not
 }
 
 var (
-	allRuns     = &runType{is: func(*Scenario) bool { return true }}
+	allRuns     = &runType{includes: func(*Scenario) bool { return true }}
 	sidecarRuns = &runType{
-		is:       func(s *Scenario) bool { return !s.isRegistryRun() },
-		required: "is for runs with sidecars; one with registry.copies has none",
+		includes: func(s *Scenario) bool { return !s.isRegistryRun() },
+		mismatch: "is for runs with sidecars; one with registry.copies has none",
 	}
 	replicaRuns = &runType{
-		is:       func(s *Scenario) bool { return s.Registry.Replicas+s.Discovery.RegistryReplicas > 0 },
-		required: "is for runs with replicas of the list service: registry.copies or discovery.registry",
+		includes: func(s *Scenario) bool { return s.Registry.Replicas+s.Discovery.RegistryReplicas > 0 },
+		mismatch: "is for runs with replicas of the list service: registry.copies or discovery.registry",
 	}
 	standInRuns = &runType{
-		is:       func(s *Scenario) bool { return s.Discovery.RegistryReplicas == 0 && !s.isRegistryRun() },
-		required: "is of stand-in list services in runs with sidecars; the faults of real replicas are copy-*",
+		includes: func(s *Scenario) bool { return s.Discovery.RegistryReplicas == 0 && !s.isRegistryRun() },
+		mismatch: "is of stand-in list services in runs with sidecars; the faults of real replicas are copy-*",
 	}
 	standInDefectRuns = &runType{
-		is:       func(s *Scenario) bool { return s.Discovery.RegistryReplicas == 0 },
-		required: "is of stand-in list services; the faults of real replicas are copy-*",
+		includes: func(s *Scenario) bool { return s.Discovery.RegistryReplicas == 0 },
+		mismatch: "is of stand-in list services; the faults of real replicas are copy-*",
 	}
 	realListRuns = &runType{
-		is:       func(s *Scenario) bool { return s.Discovery.RegistryReplicas > 0 },
-		required: "is of real replicas of the list service, discovery.registry; of stand-ins there is list-half",
+		includes: func(s *Scenario) bool { return s.Discovery.RegistryReplicas > 0 },
+		mismatch: "is of real replicas of the list service, discovery.registry; of stand-ins there is list-half",
 	}
 	routeRuns = &runType{
-		is:       func(s *Scenario) bool { return s.HasRoutes() },
-		required: "is of rollbacks, and there are no routes",
+		includes: func(s *Scenario) bool { return s.HasRoutes() },
+		mismatch: "is of rollbacks, and there are no routes",
 	}
 	memberRuns = &runType{
-		is:       func(s *Scenario) bool { return s.Members != nil && !s.isRegistryRun() },
-		required: "is of members, and there is no section members",
+		includes: func(s *Scenario) bool { return s.Members != nil && !s.isRegistryRun() },
+		mismatch: "is of members, and there is no section members",
 	}
 )
 
--- a/internal/lab/scenario/fault_kinds_test.go
+++ b/internal/lab/scenario/fault_kinds_test.go
@@ -21,10 +21,10 @@
 			if findFaultKind(kind.name) != kind {
 				t.Error("another kind has this name")
 			}
-			if slices.Contains(kind.keys, keyWay) != (len(kind.directions) > 0) {
+			if slices.Contains(kind.keys, keyDirection) != (len(kind.directions) > 0) {
 				t.Errorf("it takes way, but has the directions %v", kind.directions)
 			}
-			if kind.runs == nil {
+			if kind.runType == nil {
 				t.Error("it has no type of run")
 			}
 			if documented := strings.TrimPrefix(kind.name, "defect-"); !strings.Contains(string(page), documented+"`") {
--- a/internal/lab/scenario/members.go
+++ b/internal/lab/scenario/members.go
@@ -112,8 +112,8 @@
 	return sidecar
 }
 
-// withoutUnstarted leaves out the sidecars that do not run yet at a time.
-func (p *Plan) withoutUnstarted(sidecars []int, kind string, at time.Duration) []int {
+// dropUnstarted leaves out the sidecars that do not run yet at a time.
+func (p *Plan) dropUnstarted(sidecars []int, kind string, at time.Duration) []int {
 	if m := p.Scenario.Members; m == nil || !findFaultKind(kind).processes || at >= m.LateStart.Duration() {
 		return sidecars
 	}
--- a/internal/lab/scenario/members_test.go
+++ b/internal/lab/scenario/members_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-const membered = `
+const memberScenario = `
 title = "x"
 length = "10s"
 [sidecars]
@@ -45,7 +45,7 @@
 		"no members":                {"[members]\nseeds = \"2\"\nlate = 2\nlate_at = \"4s\"", ``, "members"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse("bad.toml", []byte(strings.Replace(membered, c.old, c.to, 1)))
+			_, err := Parse("bad.toml", []byte(strings.Replace(memberScenario, c.old, c.to, 1)))
 			var e *Error
 			if assert.ErrorAs(t, err, &e) {
 				assert.Equal(t, c.key, e.Key, e.Text)
@@ -56,14 +56,14 @@
 
 // Who starts late is no seed, gets no requests and meets no faults of processes before, and may have another one's name.
 func TestPlan_lateSidecars(t *testing.T) {
-	s, err := Parse("good.toml", []byte(strings.Replace(membered, `late = 2`, "late = 2\nreuse_names = true", 1)))
+	s, err := Parse("good.toml", []byte(strings.Replace(memberScenario, `late = 2`, "late = 2\nreuse_names = true", 1)))
 	assert.NoError(t, err)
 	p := s.Plan(3)
 	assert.Len(t, p.Seeds, 2)
 	assert.Subset(t, []int{0, 1, 2, 3}, p.Seeds)
 	assert.Equal(t, []int{4, 5}, p.Faults[0].Sidecars)
 	assert.Equal(t, []int{0, 1, 2, 3}, p.Faults[1].Sidecars)
-	assert.Equal(t, []string{"n0", "n1", "n2", "n3", "n0", "n1"}, names(p))
+	assert.Equal(t, []string{"n0", "n1", "n2", "n3", "n0", "n1"}, sidecarNames(p))
 	assert.Equal(t, 4, p.Settings(5)["peers_total"])
 	after := 0
 	for _, a := range p.Arrivals {
@@ -75,7 +75,7 @@
 	assert.NotZero(t, after)
 }
 
-func names(p *Plan) []string {
+func sidecarNames(p *Plan) []string {
 	var out []string
 	for _, one := range p.Sidecars {
 		out = append(out, one.Name)
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -76,8 +76,8 @@
 	Replacements []int // spare servers that replace Servers
 }
 
-// stream is a source of random numbers for one purpose, so that a change in one part of a plan moves no other.
-func stream(seed uint64, purpose string) *rand.Rand {
+// randomSource is a source of random numbers for one purpose, so that a change in one part of a plan moves no other.
+func randomSource(seed uint64, purpose string) *rand.Rand {
 	h := fnv.New64a()
 	io.WriteString(h, purpose)
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
@@ -89,15 +89,15 @@
 		seed = s.Seed
 	}
 	p := &Plan{Scenario: s, Seed: seed}
-	p.drawKinds(stream(seed, "kinds"))
-	p.drawServers(stream(seed, "servers"))
-	p.drawSidecars(stream(seed, "sidecars"))
-	p.drawMembers(stream(seed, "members"))
-	p.drawSubsets(stream(seed, "subsets"))
-	p.drawFaults(stream(seed, "faults"))
-	p.drawArrivals(stream(seed, "arrivals"))
+	p.drawKinds(randomSource(seed, "kinds"))
+	p.drawServers(randomSource(seed, "servers"))
+	p.drawSidecars(randomSource(seed, "sidecars"))
+	p.drawMembers(randomSource(seed, "members"))
+	p.drawSubsets(randomSource(seed, "subsets"))
+	p.drawFaults(randomSource(seed, "faults"))
+	p.drawArrivals(randomSource(seed, "arrivals"))
 	if keyless := s.Routes.KeylessFraction; keyless > 0 {
-		r := stream(seed, "keys")
+		r := randomSource(seed, "keys")
 		for i := range p.Arrivals {
 			p.Arrivals[i].Keyless = r.Float64() < keyless
 		}
@@ -177,8 +177,8 @@
 	return zone
 }
 
-// RegionNames are the zones of each region by the name that the sidecars' configuration has.
-func (n *Network) RegionNames() map[string][]string {
+// ZonesByRegion are the zones of each region by the name that the sidecars' configuration has.
+func (n *Network) ZonesByRegion() map[string][]string {
 	out := map[string][]string{}
 	for i, zones := range n.Regions {
 		out[fmt.Sprintf("region-%d", i)] = zones
@@ -186,8 +186,8 @@
 	return out
 }
 
-// RegionNumbers is the region of each zone; nil where there are none.
-func (n *Network) RegionNumbers() []int {
+// RegionByZone is the region of each zone; nil where there are none.
+func (n *Network) RegionByZone() []int {
 	if len(n.Regions) == 0 {
 		return nil
 	}
--- a/internal/lab/scenario/routes.go
+++ b/internal/lab/scenario/routes.go
@@ -93,8 +93,8 @@
 // HasRoutes tells whether a scenario has routes at all.
 func (s *Scenario) HasRoutes() bool { return len(s.Routes.Subsets) > 0 }
 
-// RulesToCheck lists the invariants that have to be checked on some case in a run of this scenario.
-func (s *Scenario) RulesToCheck() []string {
+// InvariantsToCheck lists the invariants that have to be checked on some case in a run of this scenario.
+func (s *Scenario) InvariantsToCheck() []string {
 	if len(s.Expect.MustCheck) > 0 || len(s.Expect.MustBreak) > 0 || len(s.Rollouts) == 0 {
 		return s.Expect.MustCheck
 	}
@@ -312,10 +312,10 @@
 			return invalid(fmt.Sprintf("expect.checks[%d]", i), "%q is no rule", rule)
 		}
 	}
-	return s.checkOrders(names)
+	return s.checkRouteCommands(names)
 }
 
-func (s *Scenario) checkOrders(names map[string]bool) *invalidKey {
+func (s *Scenario) checkRouteCommands(names map[string]bool) *invalidKey {
 	for i := range s.RouteCommands {
 		o, key := &s.RouteCommands[i], fmt.Sprintf("order[%d]", i)
 		if o.At < 0 || o.At > s.Length {
--- a/internal/lab/scenario/routes_test.go
+++ b/internal/lab/scenario/routes_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const routed = `
+const routeScenario = `
 title = "x"
 length = "9s"
 
@@ -62,7 +62,7 @@
 
 // What cannot be meant of routes names its key.
 func TestParse_routeErrors(t *testing.T) {
-	_, err := Parse("good.toml", []byte(routed))
+	_, err := Parse("good.toml", []byte(routeScenario))
 	require.NoError(t, err)
 	for _, c := range []struct{ old, to, key, text string }{
 		{`registry = 3`, `copies = 3`, "discovery.registry", "real copies"},
@@ -91,8 +91,8 @@
 		{`[expect]`, "[expect]\nchecks = [\"honesty\"]", "expect.checks[0]", "no rule"},
 	} {
 		t.Run(c.key, func(t *testing.T) {
-			require.Contains(t, routed, c.old)
-			_, err := Parse("bad.toml", []byte(strings.Replace(routed, c.old, c.to, 1)))
+			require.Contains(t, routeScenario, c.old)
+			_, err := Parse("bad.toml", []byte(strings.Replace(routeScenario, c.old, c.to, 1)))
 			var e *Error
 			require.ErrorAs(t, err, &e)
 			assert.Equal(t, c.key, e.Key)
@@ -103,7 +103,7 @@
 
 // Subsets are drawn from the seed, and faults find them; what is drawn for them moves nothing else of the plan.
 func TestPlan_subsets(t *testing.T) {
-	s, err := Parse("good.toml", []byte(routed))
+	s, err := Parse("good.toml", []byte(routeScenario))
 	require.NoError(t, err)
 	p := s.Plan(0)
 	assert.Len(t, p.Subsets["new"], 2)
@@ -115,11 +115,11 @@
 		assert.Equal(t, in, p.InSubset("older", i))
 		assert.Equal(t, slices.Contains(p.Subsets["new"], i), p.InSubset("new", i))
 	}
-	bare, err := Parse("bare.toml", []byte(strings.Split(routed, "[routes]")[0]))
+	bare, err := Parse("bare.toml", []byte(strings.Split(routeScenario, "[routes]")[0]))
 	require.NoError(t, err)
 	q := bare.Plan(0)
 	assert.Equal(t, q.Servers, p.Servers)
 	assert.Equal(t, q.Arrivals, p.Arrivals)
-	assert.Equal(t, []string{"budget", "closed", "audit-true", "route-free", "rollback-final"}, s.RulesToCheck())
-	assert.Empty(t, bare.RulesToCheck())
+	assert.Equal(t, []string{"budget", "closed", "audit-true", "route-free", "rollback-final"}, s.InvariantsToCheck())
+	assert.Empty(t, bare.InvariantsToCheck())
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -121,11 +121,11 @@
 	Retries                int      `toml:"retries"`
 	Backoff                Duration `toml:"backoff"`
 	AttemptTimeoutFraction float64  `toml:"try_share"` // of a class's deadline, after which a client attempt times out
-	ObeysRetryAfter        float64  `toml:"honour"`    // fraction of clients that wait for Retry-After
+	RetryAfterFraction     float64  `toml:"honour"`    // fraction of clients that wait for Retry-After
 	EarlyLeaveFraction     float64  `toml:"impatient"` // fraction of client attempts that end early
 	LeaveModes             []string `toml:"leave"`     // how they end, one of LeaveModes drawn for each; empty: LeaveClose
 	PipelinedFraction      float64  `toml:"pipelined"` // fraction of client attempts followed by the first bytes of a next request
-	AnswerBytes            int      `toml:"answer"`
+	ResponseBytes          int      `toml:"answer"`
 }
 
 // Discovery is when a change of a server reaches the sidecars, and by which list services.
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-const good = `
+const validScenario = `
 title = "x"
 length = "5s"
 
@@ -31,7 +31,7 @@
 `
 
 func TestParse_errors(t *testing.T) {
-	if _, err := Parse("good.toml", []byte(good)); err != nil {
+	if _, err := Parse("good.toml", []byte(validScenario)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -79,7 +79,7 @@
 		{"rule", `[traffic]`, "[expect]\nbreaks = [\"honesty\"]\n[traffic]", 9, "expect.breaks[0]", "no rule"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			text := strings.Replace(good, c.old, c.to, 1)
+			text := strings.Replace(validScenario, c.old, c.to, 1)
 			_, err := Parse("dir/bad.toml", []byte(text))
 			var e *Error
 			if !errors.As(err, &e) {
@@ -98,7 +98,7 @@
 	}
 }
 
-func schedule(t testing.TB, s *Scenario, seed uint64) []byte {
+func scheduleBytes(t testing.TB, s *Scenario, seed uint64) []byte {
 	var b bytes.Buffer
 	if _, err := s.Plan(seed).WriteTo(&b); err != nil {
 		t.Fatal(err)
@@ -108,15 +108,15 @@
 
 // The same seed gives the same bytes on any machine.
 func TestPlan_schedule(t *testing.T) {
-	s, err := Parse("good.toml", []byte(good))
+	s, err := Parse("good.toml", []byte(validScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := schedule(t, s, 7)
-	if !bytes.Equal(one, schedule(t, s, 7)) {
+	one := scheduleBytes(t, s, 7)
+	if !bytes.Equal(one, scheduleBytes(t, s, 7)) {
 		t.Error("the same seed gave two schedules")
 	}
-	if bytes.Equal(one, schedule(t, s, 8)) {
+	if bytes.Equal(one, scheduleBytes(t, s, 8)) {
 		t.Error("two seeds gave the same schedule")
 	}
 	const want = "62c6d4453ffb1cc0"
@@ -127,7 +127,7 @@
 
 // Sidecars get SIGTERM one after another.
 func TestPlan_oneAfterOther(t *testing.T) {
-	s, err := Parse("good.toml", []byte(good+"[[fault]]\nat = \"3s\"\nevery = \"500ms\"\nkind = \"sidecar-term\"\nsidecars = \"3\"\n"))
+	s, err := Parse("good.toml", []byte(validScenario+"[[fault]]\nat = \"3s\"\nevery = \"500ms\"\nkind = \"sidecar-term\"\nsidecars = \"3\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 func TestScenario_killDelay(t *testing.T) {
 	for deadline, want := range map[string]string{"800ms": "1.5s", "4s": "3.7s"} {
 		t.Run(deadline, func(t *testing.T) {
-			s, err := Parse("good.toml", []byte(good+"[[class]]\nname = \"a\"\nshare = 1\nwork = \"1ms\"\naim = \"800ms\"\ndeadline = \""+deadline+"\"\n"))
+			s, err := Parse("good.toml", []byte(validScenario+"[[class]]\nname = \"a\"\nshare = 1\nwork = \"1ms\"\naim = \"800ms\"\ndeadline = \""+deadline+"\"\n"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -157,7 +157,7 @@
 
 // Whatever is drawn lies in the run and names parties that there are.
 func TestPlan_drawnValues(t *testing.T) {
-	s, err := Parse("good.toml", []byte(good+"\n[[fault]]\nat = \"1s\"\nkind = \"replace\"\nservers = \"50%\"\n"))
+	s, err := Parse("good.toml", []byte(validScenario+"\n[[fault]]\nat = \"1s\"\nkind = \"replace\"\nservers = \"50%\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scenario/selector.go
+++ b/internal/lab/scenario/selector.go
@@ -21,8 +21,8 @@
 	selectMajority = "majority"
 )
 
-// isNumbered tells whether a selector is "#0" up to the last of count.
-func isNumbered(selector string, count int) bool {
+// isNumberSelector tells whether a selector is "#0" up to the last of count.
+func isNumberSelector(selector string, count int) bool {
 	digits, ok := strings.CutPrefix(selector, "#")
 	i, err := strconv.Atoi(digits)
 	return ok && err == nil && i >= 0 && i < count
@@ -76,7 +76,7 @@
 		}
 		return nil
 	case strings.HasPrefix(selector, "#"):
-		if !isNumbered(selector, count) {
+		if !isNumberSelector(selector, count) {
 			return fmt.Errorf("there is no %s: they are #0 to #%d", selector, count-1)
 		}
 		return nil
@@ -103,7 +103,7 @@
 func (s *Scenario) checkReplicas(selector string) error {
 	words := []string{selectLeader, selectFollower, selectMajority, selectAll}
 	replicas := max(s.Registry.Replicas, s.Discovery.RegistryReplicas)
-	if !slices.Contains(words, selector) && !isNumbered(selector, replicas) {
+	if !slices.Contains(words, selector) && !isNumberSelector(selector, replicas) {
 		return fmt.Errorf("%q is none of %s, #0 to #%d", selector, strings.Join(words, ", "), replicas-1)
 	}
 	return nil
@@ -123,9 +123,9 @@
 	case "subset":
 		return slices.Clone(p.Subsets[name])
 	case "pod":
-		return numbersWhere(count, func(i int) bool { return strconv.Itoa(p.Servers[i].Pod) == name })
+		return indexesWhere(count, func(i int) bool { return strconv.Itoa(p.Servers[i].Pod) == name })
 	case "kind":
-		return numbersWhere(count, func(i int) bool { return p.Scenario.Servers.Kinds[p.Servers[i].Kind].Name == name })
+		return indexesWhere(count, func(i int) bool { return p.Scenario.Servers.Kinds[p.Servers[i].Kind].Name == name })
 	}
 	return p.selectTargets(r, selector, count, func(i int) int { return p.Servers[i].Zone })
 }
@@ -133,7 +133,7 @@
 // selectSidecars draws which of the first count sidecars a selector means; checkSidecars has checked it.
 func (p *Plan) selectSidecars(r *rand.Rand, selector string, count int) []int {
 	if selector == selectLate {
-		return numbersWhere(count, p.Scenario.StartsLate)
+		return indexesWhere(count, p.Scenario.StartsLate)
 	}
 	return p.selectTargets(r, selector, count, func(i int) int { return p.Sidecars[i].Zone })
 }
@@ -144,11 +144,11 @@
 	kind, name, _ := strings.Cut(selector, ":")
 	switch {
 	case selector == selectAll:
-		return numbersWhere(count, func(int) bool { return true })
+		return indexesWhere(count, func(int) bool { return true })
 	case kind == "zone":
-		return numbersWhere(count, func(i int) bool { return network.Zones[zoneOf(i)] == name })
+		return indexesWhere(count, func(i int) bool { return network.Zones[zoneOf(i)] == name })
 	case kind == "region":
-		return numbersWhere(count, func(i int) bool { return strconv.Itoa(network.regionOf(zoneOf(i))) == name })
+		return indexesWhere(count, func(i int) bool { return strconv.Itoa(network.regionOf(zoneOf(i))) == name })
 	case selector[0] == '#':
 		i, _ := strconv.Atoi(selector[1:])
 		return []int{i}
@@ -168,7 +168,7 @@
 	return n
 }
 
-func numbersWhere(count int, matches func(int) bool) []int {
+func indexesWhere(count int, matches func(int) bool) []int {
 	var out []int
 	for i := range count {
 		if matches(i) {
--- a/internal/lab/server_fault_steps.go
+++ b/internal/lab/server_fault_steps.go
@@ -83,7 +83,7 @@
 
 func closeIdle(f injection) []step {
 	return f.changeServers(func(b *stock.Behaviour, on bool) {
-		b.Idle, b.ForgetIdle = f.duration(on), on && f.Fault.Unnoticed
+		b.Idle, b.ForgetIdle = f.duration(on), on && f.Fault.DropSilently
 	})
 }
 
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -224,7 +224,7 @@
 		config["faults"] = s.faultsFile()
 	}
 	if n := &r.Scenario.Network; len(n.Regions) > 0 {
-		config["regions"], config["region_cost"] = n.RegionNames(), n.CrossRegionCost
+		config["regions"], config["region_cost"] = n.ZonesByRegion(), n.CrossRegionCost
 	}
 	data, err := json.MarshalIndent(config, "", " ")
 	if err != nil {
--- a/internal/lab/simulate/client_request.go
+++ b/internal/lab/simulate/client_request.go
@@ -25,7 +25,7 @@
 func (sim *simulation) startRequest(number int, a *scenario.Arrival) {
 	r := &clientRequest{sim: sim, number: number, arrival: a, rng: rand.New(rand.NewPCG(a.Seed, uint64(number)))}
 	r.deadline = sim.Now() + r.relativeDeadline()
-	r.obeysRetryAfter = r.rng.Float64() < sim.scenario.Traffic.ObeysRetryAfter
+	r.obeysRetryAfter = r.rng.Float64() < sim.scenario.Traffic.RetryAfterFraction
 	r.attempt()
 }
 
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -224,7 +224,7 @@
 		if err != nil {
 			return fmt.Errorf("sidecar %d: %w", i, err)
 		}
-		cfg.Regions, cfg.RegionCost = sim.scenario.Network.RegionNumbers(), sim.scenario.Network.CrossRegionCost
+		cfg.Regions, cfg.RegionCost = sim.scenario.Network.RegionByZone(), sim.scenario.Network.CrossRegionCost
 		if o.ChangeConfig != nil {
 			o.ChangeConfig(i, &cfg)
 		}
