--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -1,6 +1,6 @@
 package scenario
 
-// This file refuses scenarios that make no sense.
+// This file validates scenarios.
 
 import (
 	"fmt"
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// invalidKey is a key whose value makes no sense, by its path in the file.
+// invalidKey is the path of a key in the file and the reason why its value is invalid.
 type invalidKey struct{ key, text string }
 
 func invalid(key, format string, args ...any) *invalidKey {
 	return &invalidKey{key: key, text: fmt.Sprintf(format, args...)}
 }
 
-// bound is the least and the greatest value of a key.
+// bound is a key with its value, minimum and maximum.
 type bound struct {
 	key             string
 	value, min, max float64
 }
 
+// checkBounds returns the first key whose value is out of its bounds, or nil.
 func checkBounds(bounds []bound) *invalidKey {
 	for _, b := range bounds {
-		if !(b.value >= b.min && b.value <= b.max) { // NaN is out of each range
-			return invalid(b.key, "is out of range, not between %g and %g", b.min, b.max)
+		if !(b.value >= b.min && b.value <= b.max) { // also rejects NaN
+			return invalid(b.key, "is out of range: must be between %g and %g", b.min, b.max)
 		}
 	}
 	return nil
@@ -34,15 +35,15 @@
 
 var unlimited = math.Inf(1)
 
-// Bounds of sizes in several tables.
+// Maximum values that several keys share.
 const (
 	maxSidecars = 1000
 	maxServers  = 5000
-	maxBytes    = 32 << 20 // of a request's or an answer's body
+	maxBytes    = 32 << 20 // of a request or response body
 	maxDelay    = float64(10 * time.Second)
 )
 
-// check finds the first key that makes no sense.
+// check returns the first invalid key, or nil.
 func (s *Scenario) check() *invalidKey {
 	for _, check := range []func() *invalidKey{
 		s.checkNumbers, s.checkServerKinds, s.checkNetwork, s.checkLeaveModes, s.checkClasses, s.checkTenants,
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// checkNumbers checks the numbers that stand alone.
+// checkNumbers checks the numbers whose bounds depend on no list in the file.
 func (s *Scenario) checkNumbers() *invalidKey {
 	return checkBounds(slices.Concat(s.fleetBounds(), s.networkBounds(), s.trafficBounds(), s.listBounds(), s.ruleBounds()))
 }
@@ -107,7 +108,7 @@
 	}
 }
 
-// listBounds are those of the list service, real or stand-in.
+// listBounds returns the bounds of the keys of the list service, real or stand-in.
 func (s *Scenario) listBounds() []bound {
 	return []bound{
 		{"registry.copies", float64(s.Registry.Replicas), 0, 9},
@@ -157,15 +158,15 @@
 	case k.Name == "":
 		return invalid(key+".name", "is missing")
 	case !(k.Fraction > 0):
-		return invalid(key+".share", "is not over 0")
+		return invalid(key+".share", "must be over 0")
 	case k.Cores < 1 || k.Cores > 1024:
-		return invalid(key+".cores", "is out of range")
+		return invalid(key+".cores", "must be between 1 and 1024")
 	case !(k.Speed[0] > 0 && k.Speed[0] <= k.Speed[1]):
-		return invalid(key+".speed", "is not two figures over 0, the smaller one first")
+		return invalid(key+".speed", "must be two numbers over 0, the smaller one first")
 	case k.Queue < 0:
-		return invalid(key+".queue", "is negative")
+		return invalid(key+".queue", "must not be negative")
 	case !(k.InitialCapacity > 0 && k.InitialCapacity <= 1) || k.SlowStart < 0:
-		return invalid(key+".cold_from", "is not in (0, 1], or cold is negative")
+		return invalid(key+".cold_from", "must be over 0 and at most 1, and cold must not be negative")
 	}
 	for _, r := range []struct {
 		name   string
@@ -178,18 +179,18 @@
 		{"pause_grow", k.PauseGrowth, Range{0, 100}},
 	} {
 		if !(r.drawn[0] <= r.drawn[1] && r.bounds.contains(r.drawn[0]) && r.bounds.contains(r.drawn[1])) {
-			return invalid(key+"."+r.name, "is not two figures between %g and %g, the smaller one first", r.bounds[0], r.bounds[1])
+			return invalid(key+"."+r.name, "must be two numbers between %g and %g, the smaller one first", r.bounds[0], r.bounds[1])
 		}
 	}
 	return nil
 }
 
-// checkNetwork checks where servers and list services lie.
+// checkNetwork checks the zones of servers and list services.
 func (s *Scenario) checkNetwork() *invalidKey {
 	zones := map[string]bool{}
 	for i, z := range s.Network.Zones {
 		if z == "" || zones[z] {
-			return invalid(fmt.Sprintf("network.zones[%d]", i), "%q is not a name of its own", z)
+			return invalid(fmt.Sprintf("network.zones[%d]", i), "name %q is empty or used twice", z)
 		}
 		zones[z] = true
 	}
@@ -197,7 +198,7 @@
 		return e
 	}
 	if n, services := len(s.Discovery.Zones), max(s.Discovery.Services, s.Discovery.RegistryReplicas); n > 0 && n != services {
-		return invalid("discovery.zones", "names %d zones for %d list services", n, services)
+		return invalid("discovery.zones", "has %d zones for %d list services", n, services)
 	}
 	for i, z := range s.Discovery.Zones {
 		if err := s.checkZone(z); err != nil {
@@ -205,33 +206,33 @@
 		}
 	}
 	if n := len(s.Network.ServersByZone); n > 0 && n != len(s.Network.Zones) {
-		return invalid("network.split", "has %d figures for %d zones", n, len(s.Network.Zones))
+		return invalid("network.split", "has %d numbers for %d zones", n, len(s.Network.Zones))
 	}
 	for i, n := range s.Network.ServersByZone {
 		if n < 1 || n > 1000 {
-			return invalid(fmt.Sprintf("network.split[%d]", i), "is not between 1 and 1000")
+			return invalid(fmt.Sprintf("network.split[%d]", i), "must be between 1 and 1000")
 		}
 	}
 	return nil
 }
 
-// checkRegions checks that each zone lies in one region, or that there are no regions.
+// checkRegions checks that each zone is in exactly one region, or that no region is defined.
 func (s *Scenario) checkRegions(zones map[string]bool) *invalidKey {
 	seen := map[string]bool{}
 	for i, region := range s.Network.Regions {
 		key := fmt.Sprintf("network.regions[%d]", i)
 		if len(region) == 0 {
-			return invalid(key, "names no zone")
+			return invalid(key, "contains no zone")
 		}
 		for _, z := range region {
 			if !zones[z] || seen[z] {
-				return invalid(key, "%q is no zone, or in a region already; the zones are %s", z, strings.Join(s.Network.Zones, ", "))
+				return invalid(key, "zone %q is unknown or already in a region; the zones are %s", z, strings.Join(s.Network.Zones, ", "))
 			}
 			seen[z] = true
 		}
 	}
 	if len(seen) > 0 && len(seen) < len(zones) {
-		return invalid("network.regions", "leaves out a zone: each lies in one region, or there are none")
+		return invalid("network.regions", "omits a zone: each zone must be in one region, or no region defined")
 	}
 	return nil
 }
@@ -241,7 +242,7 @@
 	for i := range s.Classes {
 		c, key := &s.Classes[i], fmt.Sprintf("class[%d]", i)
 		if c.Name == "" || names[c.Name] {
-			return invalid(key+".name", "%q is not a name of its own", c.Name)
+			return invalid(key+".name", "name %q is empty or used twice", c.Name)
 		}
 		names[c.Name] = true
 		if e := c.check(key); e != nil {
@@ -254,23 +255,23 @@
 func (c *Class) check(key string) *invalidKey {
 	switch {
 	case !(c.Fraction > 0):
-		return invalid(key+".share", "is not over 0")
+		return invalid(key+".share", "must be over 0")
 	case c.Work <= 0:
-		return invalid(key+".work", "is not over 0")
+		return invalid(key+".work", "must be over 0")
 	case c.Objective <= 0 || c.Deadline < c.Objective:
-		return invalid(key+".aim", "is not over 0 and at most the deadline")
+		return invalid(key+".aim", "must be over 0 and at most the deadline")
 	case c.CV < 0 || c.PriorityWeight < 0:
-		return invalid(key+".cv", "or worth is negative")
+		return invalid(key+".cv", "cv and worth must not be negative")
 	case !(c.AttemptNoise >= 0 && c.AttemptNoise <= 10):
-		return invalid(key+".attempt_noise", "is not between 0 and 10")
+		return invalid(key+".attempt_noise", "must be between 0 and 10")
 	case c.Dist != DistLognormal && c.Dist != DistExponential:
-		return invalid(key+".dist", "%q is neither %s nor %s", c.Dist, DistLognormal, DistExponential)
+		return invalid(key+".dist", "unknown distribution %q: must be %s or %s", c.Dist, DistLognormal, DistExponential)
 	case c.Dist == DistExponential && c.CV > 0:
-		return invalid(key+".cv", "is set, but work that is drawn from an exponential has none of its own")
+		return invalid(key+".cv", "must not be set for dist = \"exp\", as an exponential distribution has a fixed coefficient of variation")
 	case c.Effect != EffectIdempotent && c.Effect != EffectNonIdempotent:
-		return invalid(key+".effect", "%q is neither %s nor %s", c.Effect, EffectIdempotent, EffectNonIdempotent)
+		return invalid(key+".effect", "unknown effect %q: must be %s or %s", c.Effect, EffectIdempotent, EffectNonIdempotent)
 	case c.BodyBytes < 0 || c.BodyBytes > maxBytes || c.Effect == EffectIdempotent && c.BodyBytes > 0:
-		return invalid(key+".body", "cannot be: a safe class has none, others at most 32 MB")
+		return invalid(key+".body", "must be 0 for a safe class and between 0 and 32 MB for others")
 	}
 	return nil
 }
@@ -279,7 +280,7 @@
 	names := map[string]bool{}
 	for i, t := range s.Tenants {
 		if t.Name == "" || names[t.Name] || !(t.Fraction > 0) || t.UsageFactor < 0 {
-			return invalid(fmt.Sprintf("tenant[%d].name", i), "has no name of its own, or a share or usage that cannot be")
+			return invalid(fmt.Sprintf("tenant[%d].name", i), "name must be set and unique, share over 0 and usage not negative")
 		}
 		names[t.Name] = true
 	}
@@ -295,11 +296,11 @@
 	return nil
 }
 
-// checkExpectedBreaks checks the names of the invariants that have to be broken.
+// checkExpectedBreaks checks the names of the invariants that must be broken.
 func (s *Scenario) checkExpectedBreaks() *invalidKey {
 	for i, name := range s.Expect.MustBreak {
 		if !IsInvariant(name) {
-			return invalid(fmt.Sprintf("expect.breaks[%d]", i), "%q is no rule; the rules are %s", name, strings.Join(InvariantNames(), ", "))
+			return invalid(fmt.Sprintf("expect.breaks[%d]", i), "unknown invariant %q; the invariants are %s", name, strings.Join(InvariantNames(), ", "))
 		}
 	}
 	return nil
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -1,10 +1,10 @@
 package scenario
 
-// This file fills in what a scenario leaves out.
+// This file sets the defaults of a scenario.
 
 import "time"
 
-// setDefaults fills in what the file leaves out: the fleet that the operators' page describes.
+// setDefaults sets the keys that the file omits. The defaults describe the fleet of the operators' page.
 func (s *Scenario) setDefaults() {
 	setDefault(&s.Seed, 1)
 	setDefault(&s.Length, seconds(20))
@@ -24,11 +24,11 @@
 	}
 }
 
-// setDefault sets a value that the file leaves out.
-func setDefault[T comparable](v *T, otherwise T) {
+// setDefault sets a value that is zero, as that of a key that the file omits.
+func setDefault[T comparable](v *T, defaultValue T) {
 	var zero T
 	if *v == zero {
-		*v = otherwise
+		*v = defaultValue
 	}
 }
 
--- a/internal/lab/scenario/fault_keys.go
+++ b/internal/lab/scenario/fault_keys.go
@@ -8,12 +8,12 @@
 	"marblelane/internal/fault"
 )
 
-// faultKey is a key that only some kinds of faults take.
+// faultKey is a key that only some kinds of faults accept.
 type faultKey struct {
 	name     string
-	required bool // of the kinds that take it
+	required bool // whether the kinds that accept the key need it
 	isSet    func(f *Fault) bool
-	// check checks the value of a key that is set; nil: each is right.
+	// check validates the value of a key that is set. nil means that all values are valid.
 	check func(s *Scenario, f *Fault, kind *faultKind) error
 }
 
@@ -23,7 +23,7 @@
 		isSet: func(f *Fault) bool { return f.Direction != "" },
 		check: func(_ *Scenario, f *Fault, kind *faultKind) error {
 			if !slices.Contains(kind.directions, f.Direction) {
-				return fmt.Errorf("%q is none of %s", f.Direction, strings.Join(kind.directions, ", "))
+				return fmt.Errorf("unknown direction %q: must be one of %s", f.Direction, strings.Join(kind.directions, ", "))
 			}
 			return nil
 		},
@@ -34,7 +34,7 @@
 		isSet:    func(f *Fault) bool { return f.Latency != 0 },
 		check: func(_ *Scenario, f *Fault, _ *faultKind) error {
 			if f.Latency < 0 {
-				return fmt.Errorf("is negative")
+				return fmt.Errorf("must not be negative")
 			}
 			return nil
 		},
@@ -44,7 +44,7 @@
 		isSet: func(f *Fault) bool { return f.Fraction != 0 },
 		check: func(_ *Scenario, f *Fault, _ *faultKind) error {
 			if !(f.Fraction >= 0 && f.Fraction <= 1) {
-				return fmt.Errorf("is not between 0 and 1")
+				return fmt.Errorf("must be between 0 and 1")
 			}
 			return nil
 		},
@@ -58,7 +58,7 @@
 		check: func(s *Scenario, f *Fault, _ *faultKind) error {
 			for _, name := range f.Classes {
 				if !s.hasClass(name) {
-					return fmt.Errorf("%q is no class", name)
+					return fmt.Errorf("unknown class %q", name)
 				}
 			}
 			return nil
@@ -70,7 +70,7 @@
 		isSet:    func(f *Fault) bool { return f.Call != "" },
 		check: func(_ *Scenario, f *Fault, _ *faultKind) error {
 			if f.Call != fault.CallAccept && f.Call != fault.CallOpen {
-				return fmt.Errorf("%q is neither %s nor %s", f.Call, fault.CallAccept, fault.CallOpen)
+				return fmt.Errorf("unknown system call %q: must be %s or %s", f.Call, fault.CallAccept, fault.CallOpen)
 			}
 			return nil
 		},
@@ -81,18 +81,18 @@
 		isSet:    func(f *Fault) bool { return f.Errno != "" },
 		check: func(_ *Scenario, f *Fault, _ *faultKind) error {
 			if _, ok := fault.Errno(f.Errno); !ok {
-				return fmt.Errorf("%q is no errno", f.Errno)
+				return fmt.Errorf("unknown errno %q", f.Errno)
 			}
 			return nil
 		},
 	}
-	// keyList is taken, beside the kinds that name it, by each fault of links to discovery.
+	// keyList is also accepted by each fault of links to discovery, whose kinds do not contain the key.
 	keyList = &faultKey{
 		name:  "list",
 		isSet: func(f *Fault) bool { return f.List != "" },
 		check: func(s *Scenario, f *Fault, _ *faultKind) error {
 			if services := max(s.Discovery.Services, s.Discovery.RegistryReplicas); f.List != selectAll && !isNumberSelector(f.List, services) {
-				return fmt.Errorf("%q is neither all nor #0 to #%d", f.List, services-1)
+				return fmt.Errorf("unknown list service %q: must be all or #0 to #%d", f.List, services-1)
 			}
 			return nil
 		},
@@ -100,12 +100,12 @@
 	faultKeys = []*faultKey{keyDirection, keyLatency, keyFraction, keyRandomDelay, keyDropSilently, keyKeepServing, keyClasses, keyCall, keyErrno, keyList}
 )
 
-// acceptsKey tells whether a fault of this kind may have a key.
+// acceptsKey reports whether a fault of this kind can have a key.
 func (k *faultKind) acceptsKey(key *faultKey, f *Fault) bool {
 	return slices.Contains(k.keys, key) || key == keyList && f.Link == LinkDiscovery
 }
 
-// kindsWithKey lists the kinds of faults that have a key: "a fail or slow".
+// kindsWithKey returns the kinds of faults that have a key, as text: "a fail or slow".
 func kindsWithKey(key *faultKey) string {
 	var names []string
 	for i := range faultKinds {
@@ -120,6 +120,7 @@
 	return withArticle(strings.Join(names[:last], ", ")) + " or " + names[last]
 }
 
+// withArticle puts "a" or "an" before a noun.
 func withArticle(noun string) string {
 	if strings.ContainsRune("aeiou", rune(noun[0])) {
 		return "an " + noun
--- a/internal/lab/scenario/fault_kinds.go
+++ b/internal/lab/scenario/fault_kinds.go
@@ -1,10 +1,10 @@
 package scenario
 
-// This file is the table of all kinds of faults: what each acts on, how long it takes and which keys it has.
+// This file holds the table of all kinds of faults: what each acts on, its timing and its keys.
 
 import "slices"
 
-// The kinds of faults of servers.
+// Kinds of faults of servers.
 const (
 	FaultSlow          = "slow"
 	FaultFail          = "fail"
@@ -22,7 +22,7 @@
 	FaultServerClock   = "server-clock"
 )
 
-// The kinds of faults of links.
+// Kinds of faults of links.
 const (
 	FaultCut        = "cut"
 	FaultLatency    = "latency"
@@ -35,7 +35,7 @@
 	FaultAcceptLate = "accept-late"
 )
 
-// The kinds of faults of the sidecars' processes.
+// Kinds of faults of the sidecar processes.
 const (
 	FaultSidecarKill    = "sidecar-kill"
 	FaultSidecarRestart = "sidecar-restart"
@@ -46,7 +46,8 @@
 	FaultSidecarCall    = "sidecar-call"
 )
 
-// The kinds of faults of the server list: those of stand-in list services, and one of real replicas.
+// Kinds of faults of the server list. FaultEntriesLost is for real replicas of the list service, the others are for
+// stand-ins.
 const (
 	FaultListLate           = "list-late"
 	FaultListSilent         = "list-silent"
@@ -64,7 +65,7 @@
 	FaultEntriesLost        = "entries-lost"
 )
 
-// The kinds of faults of traffic.
+// Kinds of faults of the traffic.
 const (
 	FaultBurst    = "burst"
 	FaultRush     = "rush"
@@ -72,7 +73,7 @@
 	FaultLeave    = "leave"
 )
 
-// The kinds of faults of the list service's replicas.
+// Kinds of faults of the replicas of the list service.
 const (
 	FaultReplicaKill        = "copy-kill"
 	FaultReplicaFreeze      = "copy-freeze"
@@ -85,7 +86,7 @@
 	FaultReplicaClock       = "copy-clock"
 )
 
-// The kinds of faults of membership.
+// Kinds of faults of membership.
 const (
 	FaultMembersCut    = "members-cut"
 	FaultMembersLose   = "members-lose"
@@ -93,7 +94,7 @@
 	FaultMembersReject = "members-refuse"
 )
 
-// The planted defects, each of which breaks an invariant.
+// Planted defects, each of which breaks an invariant.
 const (
 	DefectSendTwice           = "defect-send-twice"
 	DefectSendAgain           = "defect-send-again"
@@ -115,36 +116,36 @@
 	DefectClaimFresh          = "defect-fresh-claim"
 )
 
-// faultTiming is how a kind of fault spreads over time.
+// faultTiming is the way in which faults of a kind occur over time.
 type faultTiming int
 
 const (
 	happensOnce faultTiming = iota
-	hasDuration             // it needs `for`
-	staggered               // it comes to one sidecar after another, `every` apart
+	hasDuration             // needs `for`
+	staggered               // happens to one sidecar after another, at intervals of `every`
 )
 
-// faultKind is one kind of fault.
+// faultKind describes a kind of fault.
 type faultKind struct {
 	name       string
-	servers    bool // it acts on servers
-	sidecars   bool // it acts on sidecars
-	replicas   bool // it acts on replicas of the list service
-	processes  bool // it acts on processes of sidecars, which have to have started
+	servers    bool // acts on servers
+	sidecars   bool // acts on sidecars
+	replicas   bool // acts on replicas of the list service
+	processes  bool // acts on sidecar processes, which must have started
 	timing     faultTiming
-	size       *Range      // what `size` may be; nil: it has none
-	keys       []*faultKey // the further keys that it takes
-	directions []string    // what `way` may be, of a kind that takes it
-	runType    *runType    // the runs that can have it
-	simulated  bool        // simulated runs play it, too
+	size       *Range      // valid range of `size`; nil means that the kind has no size
+	keys       []*faultKey // further keys that the kind accepts
+	directions []string    // valid values of `way` for a kind that accepts it
+	runType    *runType    // runs in which the kind is valid
+	simulated  bool        // simulated runs inject it, too
 }
 
-// The values of `way`.
+// Values of `way`.
 const (
 	DirectionTo   = "to"
 	DirectionFrom = "from"
 	DirectionBoth = "both"
-	DirectionIn   = "in" // of members: others cannot call them
+	DirectionIn   = "in" // for members: others cannot call them
 )
 
 var (
@@ -156,10 +157,10 @@
 	clockStepRange = &Range{-1e6, 1e6} // seconds
 )
 
+// maxLinkBytes is the maximum size of faults that state bytes of a link, or bytes per second.
 const maxLinkBytes = 1e12
 
-// faultKinds are all kinds of faults. What a real run does for each stands in package lab, what a simulated one does in
-// package simulate.
+// faultKinds lists all kinds of faults. Package lab implements them for real runs, package simulate for simulated ones.
 var faultKinds = []faultKind{
 	{name: FaultFail, servers: true, timing: hasDuration, size: fractionRange, keys: []*faultKey{keyClasses}, runType: sidecarRuns, simulated: true},
 	{name: FaultSlow, servers: true, timing: hasDuration, size: &Range{1, 1000}, keys: []*faultKey{keyClasses}, runType: sidecarRuns, simulated: true},
@@ -249,50 +250,50 @@
 	{name: DefectClaimFresh, timing: hasDuration, runType: allRuns},
 }
 
-// runType is a type of run that some kinds of faults are limited to.
+// runType is a type of run to which some kinds of faults are limited.
 type runType struct {
 	includes func(s *Scenario) bool
-	mismatch string // what is missing where it is not
+	mismatch string // reason for rejecting a fault in a run of another type
 }
 
 var (
 	allRuns     = &runType{includes: func(*Scenario) bool { return true }}
 	sidecarRuns = &runType{
 		includes: func(s *Scenario) bool { return !s.isRegistryRun() },
-		mismatch: "is for runs with sidecars; one with registry.copies has none",
+		mismatch: "needs a run with sidecars, and a run with registry.copies has none",
 	}
 	replicaRuns = &runType{
 		includes: func(s *Scenario) bool { return s.Registry.Replicas+s.Discovery.RegistryReplicas > 0 },
-		mismatch: "is for runs with replicas of the list service: registry.copies or discovery.registry",
+		mismatch: "needs replicas of the list service: registry.copies or discovery.registry",
 	}
 	standInRuns = &runType{
 		includes: func(s *Scenario) bool { return s.Discovery.RegistryReplicas == 0 && !s.isRegistryRun() },
-		mismatch: "is of stand-in list services in runs with sidecars; the faults of real replicas are copy-*",
+		mismatch: "needs stand-in list services in a run with sidecars; the faults of real replicas are copy-*",
 	}
 	standInDefectRuns = &runType{
 		includes: func(s *Scenario) bool { return s.Discovery.RegistryReplicas == 0 },
-		mismatch: "is of stand-in list services; the faults of real replicas are copy-*",
+		mismatch: "needs stand-in list services; the faults of real replicas are copy-*",
 	}
 	realListRuns = &runType{
 		includes: func(s *Scenario) bool { return s.Discovery.RegistryReplicas > 0 },
-		mismatch: "is of real replicas of the list service, discovery.registry; of stand-ins there is list-half",
+		mismatch: "needs real replicas of the list service: discovery.registry; the fault of stand-ins is list-half",
 	}
 	routeRuns = &runType{
 		includes: func(s *Scenario) bool { return s.HasRoutes() },
-		mismatch: "is of rollbacks, and there are no routes",
+		mismatch: "needs routes, as it acts on rollbacks",
 	}
 	memberRuns = &runType{
 		includes: func(s *Scenario) bool { return s.Members != nil && !s.isRegistryRun() },
-		mismatch: "is of members, and there is no section members",
+		mismatch: "needs a section members",
 	}
 )
 
-// isRegistryRun tells whether the run is one of the list service alone, without sidecars.
+// isRegistryRun reports whether the run has only the list service and no sidecars.
 func (s *Scenario) isRegistryRun() bool {
 	return s.Registry.Replicas > 0 && s.Discovery.RegistryReplicas == 0
 }
 
-// findFaultKind gives the kind of a name; nil: there is none.
+// findFaultKind returns the kind with a name, or nil.
 func findFaultKind(name string) *faultKind {
 	for i := range faultKinds {
 		if faultKinds[i].name == name {
@@ -302,7 +303,7 @@
 	return nil
 }
 
-// FaultKinds lists the names of the kinds of faults.
+// FaultKinds returns the sorted names of the kinds of faults.
 func FaultKinds() []string {
 	var names []string
 	for i := range faultKinds {
@@ -312,7 +313,7 @@
 	return names
 }
 
-// IsSimulated tells whether simulated runs play a kind of fault, too; real runs play all.
+// IsSimulated reports whether simulated runs inject a kind of fault. Real runs inject all kinds.
 func IsSimulated(kind string) bool {
 	k := findFaultKind(kind)
 	return k != nil && k.simulated
--- a/internal/lab/scenario/fault_kinds_test.go
+++ b/internal/lab/scenario/fault_kinds_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Each kind of fault has a name of its own, the values of its keys, and a place in docs/lab.md, where the names of planted
-// defects may begin otherwise.
+// Each kind of fault has a unique name, a type of run, directions if it accepts way, and is documented in docs/lab.md.
+// The page can name planted defects without the prefix "defect-".
 func TestFaultKinds_table(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "lab.md"))
 	if err != nil {
@@ -19,13 +19,13 @@
 		kind := &faultKinds[i]
 		t.Run(kind.name, func(t *testing.T) {
 			if findFaultKind(kind.name) != kind {
-				t.Error("another kind has this name")
+				t.Error("another kind has the same name")
 			}
 			if slices.Contains(kind.keys, keyDirection) != (len(kind.directions) > 0) {
-				t.Errorf("it takes way, but has the directions %v", kind.directions)
+				t.Errorf("directions are %v, but a kind has directions if and only if it accepts way", kind.directions)
 			}
 			if kind.runType == nil {
-				t.Error("it has no type of run")
+				t.Error("kind has no type of run")
 			}
 			if documented := strings.TrimPrefix(kind.name, "defect-"); !strings.Contains(string(page), documented+"`") {
 				t.Errorf("docs/lab.md does not name `%s`", documented)
--- a/internal/lab/scenario/leave.go
+++ b/internal/lab/scenario/leave.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// How a client leaves before its answer.
+// Ways in which a client abandons a request before the response.
 const (
 	LeaveClose     = "close"      // it closes the connection
-	LeaveHalfClose = "half-close" // it ends its sending and reads what comes
+	LeaveHalfClose = "half-close" // it closes the sending side and goes on reading
 	LeaveReset     = "reset"      // it resets the connection
 )
 
-// LeaveModes lists the ways in which a client leaves early.
+// LeaveModes returns the ways in which a client can abandon a request.
 func LeaveModes() []string { return []string{LeaveClose, LeaveHalfClose, LeaveReset} }
 
 func (s *Scenario) checkLeaveModes() *invalidKey {
 	for i, mode := range s.Traffic.LeaveModes {
 		if !slices.Contains(LeaveModes(), mode) {
-			return invalid(fmt.Sprintf("traffic.leave[%d]", i), "%q is no way to leave; they are %s", mode, strings.Join(LeaveModes(), ", "))
+			return invalid(fmt.Sprintf("traffic.leave[%d]", i), "unknown mode %q; the modes are %s", mode, strings.Join(LeaveModes(), ", "))
 		}
 	}
 	return nil
--- a/internal/lab/scenario/members.go
+++ b/internal/lab/scenario/members.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Members turns membership on in a run (docs/membership.md), for each sidecar and each replica of the list service.
-// Times that are 0 are left to the programs' defaults.
+// Members turns on membership in a run (docs/membership.md), for each sidecar and each replica of the list service.
+// A time of 0 means the default of the programs.
 type Members struct {
-	ProbeInterval Duration `toml:"interval"`     // between two probes
-	AdmitWithin   Duration `toml:"admit_within"` // after which a joining member admits itself
-	Seeds         string   `toml:"seeds"`        // which sidecars, of those that are there from the beginning
-	Peers         int      `toml:"peers"`        // assumed before any member is known; 0: those there at first
-	LateCount     int      `toml:"late"`         // the number of sidecars, the last ones, that start later
-	LateStart     Duration `toml:"late_at"`      // when those start
-	// ReuseNames gives those that start later the names of the first ones.
+	ProbeInterval Duration `toml:"interval"`     // time between two probes
+	AdmitWithin   Duration `toml:"admit_within"` // time after which a joining member admits itself
+	Seeds         string   `toml:"seeds"`        // selector of the seeds among the sidecars that run from the start
+	Peers         int      `toml:"peers"`        // sidecars assumed before any member is known; 0 means those at the start
+	LateCount     int      `toml:"late"`         // number of sidecars, the last ones, that start late
+	LateStart     Duration `toml:"late_at"`      // time at which those start
+	// ReuseNames means that sidecars that start late have the names of the first ones.
 	ReuseNames bool `toml:"reuse_names"`
-	// KeepAddress lets a process that is started again after its end have the address of the one before.
+	// KeepAddress means that a restarted process has the address of its predecessor.
 	KeepAddress   bool   `toml:"keep_address"`
-	TrustRefusals *bool  `toml:"believe_refused"` // absent: the programs' default
-	Defect        string `toml:"defect"`          // planted in the sidecars
+	TrustRefusals *bool  `toml:"believe_refused"` // a refused connection proves an end; nil means the programs' default
+	Defect        string `toml:"defect"`          // planted defect of the sidecars
 }
 
-// InMembership tells whether a sidecar takes part in membership; one of an older program does not.
+// InMembership reports whether a sidecar takes part in membership. One that runs the older program does not.
 func (s *Scenario) InMembership(sidecar int) bool {
 	return s.Members != nil && !s.RunsOlderProgram(sidecar)
 }
 
-// StartsLate tells whether a sidecar starts later than the run.
+// StartsLate reports whether a sidecar starts later than the run.
 func (s *Scenario) StartsLate(sidecar int) bool {
 	return s.Members != nil && sidecar >= s.Sidecars.Count-s.Members.LateCount
 }
 
-// PeerCount is how many sidecars the settings say there are.
+// PeerCount returns the number of sidecars that the settings state.
 func (s *Scenario) PeerCount() int {
 	if s.Members == nil {
 		return s.Sidecars.Count
@@ -55,12 +55,12 @@
 	if m == nil {
 		e := &s.Expect
 		if e.Members != nil || e.DetectWithin != nil || e.RemoveWithin != nil || e.ConvergeWithin != nil || e.AdmitWithin != nil {
-			return invalid("members", "is missing: there is an expectation of it")
+			return invalid("members", "is missing, but the section expect has keys of membership")
 		}
 		return nil
 	}
 	if s.Registry.Replicas > 0 || s.Sidecars.Program == "none" {
-		return invalid("members", "is of runs with sidecars")
+		return invalid("members", "needs a run with sidecars")
 	}
 	if e := checkBounds([]bound{
 		{"members.interval", float64(m.ProbeInterval), 0, float64(time.Minute)},
@@ -75,16 +75,16 @@
 	case err != nil:
 		return invalid("members.seeds", "%v", err)
 	case m.LateCount > 0 != (m.LateStart > 0):
-		return invalid("members.late_at", "and late go together")
+		return invalid("members.late_at", "must be set if and only if late is set")
 	case m.ReuseNames && (m.LateCount == 0 || 2*m.LateCount > s.Sidecars.Count):
-		return invalid("members.reuse_names", "has late sidecars take the names of as many others")
+		return invalid("members.reuse_names", "needs late sidecars, and at least as many others whose names they reuse")
 	case s.Expect.Members != nil && *s.Expect.Members < 1:
-		return invalid("expect.members", "is not over 0")
+		return invalid("expect.members", "must be over 0")
 	}
 	return nil
 }
 
-// drawMembers draws which sidecars are seeds, and names those that start later.
+// drawMembers draws the seeds and sets the names of sidecars that start late.
 func (p *Plan) drawMembers(r *rand.Rand) {
 	m := p.Scenario.Members
 	if m == nil {
@@ -101,10 +101,10 @@
 	}
 }
 
-// lateStartGrace is how long after its start a sidecar that starts late gets its first requests.
+// lateStartGrace is the time from the start of a late sidecar to its first requests.
 const lateStartGrace = 3 * time.Second
 
-// runningSidecar gives the sidecar that takes a request: another one for a sidecar that has not started yet.
+// runningSidecar returns the sidecar that receives a request: another one in place of a sidecar that has not started.
 func (p *Plan) runningSidecar(sidecar int, at time.Duration) int {
 	if m := p.Scenario.Members; p.Scenario.StartsLate(sidecar) && at < m.LateStart.Duration()+lateStartGrace {
 		return sidecar % (len(p.Sidecars) - m.LateCount)
@@ -112,7 +112,7 @@
 	return sidecar
 }
 
-// dropUnstarted leaves out the sidecars that do not run yet at a time.
+// dropUnstarted removes the sidecars that have not started at a time, for kinds of faults that act on processes.
 func (p *Plan) dropUnstarted(sidecars []int, kind string, at time.Duration) []int {
 	if m := p.Scenario.Members; m == nil || !findFaultKind(kind).processes || at >= m.LateStart.Duration() {
 		return sidecars
--- a/internal/lab/scenario/members_test.go
+++ b/internal/lab/scenario/members_test.go
@@ -32,17 +32,17 @@
 
 func TestParse_memberErrors(t *testing.T) {
 	for name, c := range map[string]struct{ old, to, key string }{
-		"late without a time":       {`late_at = "4s"`, ``, "members.late_at"},
-		"all are late":              {`late = 2`, `late = 6`, "members.late"},
-		"no such seed":              {`seeds = "2"`, `seeds = "#4"`, "members.seeds"},
-		"late ones are seeds":       {`seeds = "2"`, `seeds = "late"`, "members.seeds"},
-		"more names than there are": {`late = 2`, "late = 4\nreuse_names = true", "members.reuse_names"},
-		"no program":                {`count = 6`, "count = 6\nprogram = \"none\"", "members"},
-		"a way that is none":        {`way = "in"`, `way = "out"`, "fault[0].way"},
-		"a way of another fault":    {`kind = "members-cut"`, `kind = "cut"`, "fault[0].way"},
-		"slow without a time":       {"kind = \"members-cut\"\nsidecars = \"late\"\nway = \"in\"", `kind = "members-slow"`, "fault[0].latency"},
-		"nobody is expected":        {`members = 6`, `members = 0`, "expect.members"},
-		"no members":                {"[members]\nseeds = \"2\"\nlate = 2\nlate_at = \"4s\"", ``, "members"},
+		"late without late_at":                   {`late_at = "4s"`, ``, "members.late_at"},
+		"all sidecars are late":                  {`late = 2`, `late = 6`, "members.late"},
+		"unknown seed":                           {`seeds = "2"`, `seeds = "#4"`, "members.seeds"},
+		"late sidecars as seeds":                 {`seeds = "2"`, `seeds = "late"`, "members.seeds"},
+		"more late sidecars than names to reuse": {`late = 2`, "late = 4\nreuse_names = true", "members.reuse_names"},
+		"no program":                             {`count = 6`, "count = 6\nprogram = \"none\"", "members"},
+		"unknown way":                            {`way = "in"`, `way = "out"`, "fault[0].way"},
+		"way of another fault":                   {`kind = "members-cut"`, `kind = "cut"`, "fault[0].way"},
+		"slow without a latency":                 {"kind = \"members-cut\"\nsidecars = \"late\"\nway = \"in\"", `kind = "members-slow"`, "fault[0].latency"},
+		"no expected members":                    {`members = 6`, `members = 0`, "expect.members"},
+		"expectation without members":            {"[members]\nseeds = \"2\"\nlate = 2\nlate_at = \"4s\"", ``, "members"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse("bad.toml", []byte(strings.Replace(memberScenario, c.old, c.to, 1)))
@@ -54,7 +54,8 @@
 	}
 }
 
-// Who starts late is no seed, gets no requests and meets no faults of processes before, and may have another one's name.
+// A sidecar that starts late is not a seed. Before its start it gets no requests and no process faults. It can reuse
+// the name of another sidecar.
 func TestPlan_lateSidecars(t *testing.T) {
 	s, err := Parse("good.toml", []byte(strings.Replace(memberScenario, `late = 2`, "late = 2\nreuse_names = true", 1)))
 	assert.NoError(t, err)
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -9,18 +9,18 @@
 	"marblelane/internal/tomlfile"
 )
 
-// Error is a scenario file that cannot be read or makes no sense. It names file, line and key.
+// Error reports a scenario file that cannot be decoded or is invalid, with its file, line and key.
 type Error = tomlfile.Error
 
-// InvariantNames lists the invariants that runs are checked against.
+// InvariantNames returns the names of the invariants that runs are checked against.
 func InvariantNames() []string {
 	return invariant.Names()
 }
 
-// IsInvariant tells whether there is an invariant of this name.
+// IsInvariant reports whether an invariant of this name exists.
 func IsInvariant(name string) bool { return slices.Contains(InvariantNames(), name) }
 
-// Parse reads a scenario; name stands for its file in errors.
+// Parse decodes and validates a scenario. name is the file name that errors contain.
 func Parse(name string, text []byte) (*Scenario, error) {
 	s := &Scenario{}
 	at, err := tomlfile.Decode(name, text, s)
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Plan is a scenario with everything drawn from one seed before the run. The same seed gives the same plan on any machine.
+// Plan is a scenario with all random choices drawn from one seed before the run. The same seed yields the same plan on
+// any machine.
 type Plan struct {
 	Scenario *Scenario
 	Seed     uint64
@@ -21,69 +22,70 @@
 	Sidecars []SidecarPlan
 	Arrivals []Arrival
 	Faults   []FaultPlan
-	Subsets  map[string][]int // the servers of each
-	Seeds    []int            // the sidecars that members join through
-	Rate     float64          // requests a second on average
-	Capacity float64          // of all servers, in work a millisecond
+	Subsets  map[string][]int // indexes of the servers in each subset
+	Seeds    []int            // indexes of the sidecars through which members join
+	Rate     float64          // average requests per second
+	Capacity float64          // capacity of all servers, in work per millisecond
 }
 
-// ServerKindPlan is one kind of servers as drawn.
+// ServerKindPlan holds the values drawn for a kind of server.
 type ServerKindPlan struct {
-	SlotsPerCore int     // for each core
-	PauseEvery   float64 // seconds; 0: never
-	PauseLength  float64 // milliseconds
-	PauseGrowth  float64
+	SlotsPerCore int     // requests that a core works on at the same time
+	PauseEvery   float64 // mean seconds between pauses; 0 means no pauses
+	PauseLength  float64 // maximum milliseconds
+	PauseGrowth  float64 // relative growth of a pause with all slots in use
 }
 
-// ServerPlan is one server as drawn.
+// ServerPlan holds the values drawn for a server.
 type ServerPlan struct {
 	UID   string
-	Kind  int
-	Zone  int
-	Pod   int
+	Kind  int // index in Plan.Kinds
+	Zone  int // index in Network.Zones
+	Pod   int // index in Plan.Pods
 	Speed float64
-	Spare bool // it is down until it replaces another one
+	Spare bool // whether it is down until it replaces another server
 }
 
-// PodPlan is one pod as drawn.
+// PodPlan holds the limit of a pod, as a fraction of the capacity of its servers.
 type PodPlan struct{ Limit float64 }
 
-// SidecarPlan is one sidecar as drawn.
+// SidecarPlan holds the values drawn for a sidecar.
 type SidecarPlan struct {
 	Name   string
 	Zone   int
-	Weight float64 // fraction of the traffic
+	Weight float64 // its fraction of the traffic
 	Seed   uint64
 }
 
-// Arrival is a client's request, before its retries.
+// Arrival is a client's request. Its retries are not part of the plan.
 type Arrival struct {
 	At      time.Duration
 	Sidecar int
 	Class   int
 	Tenant  int
-	Work    float64 // milliseconds of a core of speed 1
-	Seed    uint64  // of its client's random numbers
-	Keyless bool    // its client sends no route key
+	Work    float64 // milliseconds on a core of speed 1
+	Seed    uint64  // seed of its client's random numbers
+	Keyless bool    // whether its client sends no route key
 }
 
-// FaultPlan is a fault with its targets drawn.
+// FaultPlan is one occurrence of a fault, with its targets drawn.
 type FaultPlan struct {
-	At, Until    time.Duration // equal: it happens once
+	At, Until    time.Duration // begin and end from the start of the run; equal for a fault that happens once
 	Fault        Fault
-	Servers      []int
-	Sidecars     []int
-	Replacements []int // spare servers that replace Servers
+	Servers      []int // indexes
+	Sidecars     []int // indexes
+	Replacements []int // indexes of the spare servers that replace Servers
 }
 
-// randomSource is a source of random numbers for one purpose, so that a change in one part of a plan moves no other.
+// randomSource returns a source of random numbers for one purpose. Separate sources keep a change in one part of a plan
+// from changing the others.
 func randomSource(seed uint64, purpose string) *rand.Rand {
 	h := fnv.New64a()
 	io.WriteString(h, purpose)
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// Plan draws everything from the seed; 0 takes the scenario's own.
+// Plan draws a plan from a seed. A seed of 0 means the seed of the scenario.
 func (s *Scenario) Plan(seed uint64) *Plan {
 	if seed == 0 {
 		seed = s.Seed
@@ -105,16 +107,16 @@
 	return p
 }
 
-// capacityWindow is the time over which a zone's work must not exceed its capacity: about what a queue can delay within
-// the latency objectives.
+// capacityWindow is the time over which the work of a zone is compared with its capacity. It is about the longest
+// queueing delay within the latency objectives.
 const capacityWindow = time.Second
 
-// MinCrossZone is the least fraction of the work that has to leave its zone: what the clients of a zone request in each
-// second beyond the capacity of its servers. No balancer can send less across zones. Faults are left out, and so is that a
-// zone at its limit answers late.
+// MinCrossZone returns the minimum fraction of the work that must leave its zone: the work that the clients of a zone
+// request beyond the capacity of its servers in each second. No balancer can send less across zones. The computation
+// ignores faults and the longer latency of a zone at its limit.
 func (p *Plan) MinCrossZone() float64 {
 	zones := len(p.Scenario.Network.Zones)
-	capacity := make([]float64, zones) // work a millisecond
+	capacity := make([]float64, zones) // work per millisecond
 	for i := range p.Servers {
 		if s := &p.Servers[i]; !s.Spare {
 			capacity[s.Zone] += p.ServerCapacity(i)
@@ -138,18 +140,18 @@
 	return excess / all
 }
 
-// ServerCapacity is what a server can do, in work a millisecond.
+// ServerCapacity returns the capacity of a server, in work per millisecond.
 func (p *Plan) ServerCapacity(server int) float64 {
 	s := &p.Servers[server]
 	return float64(p.Scenario.Servers.Kinds[s.Kind].Cores) * s.Speed * p.Pods[s.Pod].Limit
 }
 
-// Scaled is a time of the scenario's clients and servers in a run that is sped up.
+// Scaled returns a time of the clients or servers divided by the speedup of the run.
 func (s *Scenario) Scaled(d Duration) time.Duration {
 	return time.Duration(math.Round(float64(d) / s.Traffic.Speedup))
 }
 
-// zoneOf is the zone that a pod lies in: the zones in turn, or as ServersByZone says.
+// zoneOf returns the zone of a pod. Pods are assigned to the zones in rotation, in the ratio of ServersByZone.
 func (n *Network) zoneOf(pod int) int {
 	if len(n.ServersByZone) == 0 {
 		return pod % len(n.Zones)
@@ -167,7 +169,7 @@
 	return 0
 }
 
-// regionOf is the region of a zone; each is one of its own where there are none.
+// regionOf returns the region of a zone. Without regions, each zone is a region of its own.
 func (n *Network) regionOf(zone int) int {
 	for i, region := range n.Regions {
 		if slices.Contains(region, n.Zones[zone]) {
@@ -177,7 +179,7 @@
 	return zone
 }
 
-// ZonesByRegion are the zones of each region by the name that the sidecars' configuration has.
+// ZonesByRegion returns the zones of each region, by the region's name in the sidecars' configuration.
 func (n *Network) ZonesByRegion() map[string][]string {
 	out := map[string][]string{}
 	for i, zones := range n.Regions {
@@ -186,7 +188,7 @@
 	return out
 }
 
-// RegionByZone is the region of each zone; nil where there are none.
+// RegionByZone returns the region of each zone, or nil without regions.
 func (n *Network) RegionByZone() []int {
 	if len(n.Regions) == 0 {
 		return nil
@@ -198,8 +200,8 @@
 	return out
 }
 
-// AttemptWorkFactor is the work of one attempt of a request over the request's own. It is drawn with mean 1 from the
-// class's coefficient of variation, and is the same whenever this client attempt is sent to this server.
+// AttemptWorkFactor returns the ratio of the work of one attempt to the work of its request. It is drawn with mean 1
+// and the class's AttemptNoise. The same client attempt has the same factor each time it is sent to the same server.
 func (c *Class) AttemptWorkFactor(attemptID uint64, server int) float64 {
 	if c.AttemptNoise <= 0 {
 		return 1
@@ -215,7 +217,7 @@
 	return sum
 }
 
-// MeanWork is that of a request, in milliseconds of a core of speed 1.
+// MeanWork returns the mean work of a request, in milliseconds on a core of speed 1.
 func (s *Scenario) MeanWork() float64 {
 	total, mean := s.totalClassFraction(), 0.0
 	for _, c := range s.Classes {
@@ -224,16 +226,15 @@
 	return mean
 }
 
-// rushLength is the time within which the requests of a rush come.
+// rushLength is the time within which the requests of a rush arrive.
 const rushLength = 40 * time.Millisecond
 
-// WriteTo writes the whole schedule, arrivals and faults, in one line each: two plans are the same if these bytes
-// are.
+// WriteTo writes the whole schedule with one line for each drawn item. Equal bytes mean equal plans.
 func (p *Plan) WriteTo(w io.Writer) (int64, error) {
 	out := bufio.NewWriter(w)
 	n := int64(0)
 	line := func(format string, args ...any) {
-		k, _ := fmt.Fprintf(out, format, args...) // an error stays in out until Flush
+		k, _ := fmt.Fprintf(out, format, args...) // out keeps an error until Flush returns it
 		n += int64(k)
 	}
 	line("scenario %s seed %d\n", p.Scenario.Name, p.Seed)
@@ -259,11 +260,12 @@
 	return n, out.Flush()
 }
 
-// ServiceAfterTerm is how long after SIGTERM a request may arrive and still be unanswered at SIGKILL.
+// ServiceAfterTerm is the time after SIGTERM within which an arriving request may still be without a response at
+// SIGKILL.
 const ServiceAfterTerm = 700 * time.Millisecond
 
-// KillDelay is the least time between SIGTERM and the platform's SIGKILL: the longest deadline, at most 3 s, and
-// ServiceAfterTerm.
+// KillDelay returns the minimum time between SIGTERM and the platform's SIGKILL: the longest deadline, at most 3 s,
+// plus ServiceAfterTerm.
 func (s *Scenario) KillDelay() time.Duration {
 	maxDeadline := time.Duration(0)
 	for _, c := range s.Classes {
@@ -272,10 +274,10 @@
 	return min(maxDeadline, 3*time.Second) + ServiceAfterTerm
 }
 
-// ConnectTimeoutMS is how long a sidecar waits for a connection to come up, by the settings, in milliseconds.
+// ConnectTimeoutMS is the connect timeout of the sidecars' settings, in milliseconds.
 const ConnectTimeoutMS = 120.0
 
-// Latency is the one-way latency between two zones without faults.
+// Latency returns the one-way latency between two zones without faults.
 func (n *Network) Latency(a, b int) Duration {
 	switch {
 	case a == b:
@@ -286,7 +288,7 @@
 	return n.CrossZone
 }
 
-// MaxLatency is the longest one-way latency between a sidecar and a server in the run, with its faults.
+// MaxLatency returns the maximum one-way latency between a sidecar and a server in the run, with its faults.
 func (p *Plan) MaxLatency() time.Duration {
 	n := &p.Scenario.Network
 	maxLatency := max(n.SameZone.Duration(), n.CrossZone.Duration())
@@ -299,7 +301,7 @@
 	return time.Duration(float64(maxLatency) * (1 + n.Jitter))
 }
 
-// Settings is the object that the platform gives a sidecar, as its pages describe it.
+// Settings returns the settings object that the platform passes to a sidecar.
 func (p *Plan) Settings(i int) map[string]any {
 	s := p.Scenario
 	ms := func(d Duration) float64 { return float64(s.Scaled(d)) / float64(time.Millisecond) }
--- a/internal/lab/scenario/routes.go
+++ b/internal/lab/scenario/routes.go
@@ -12,39 +12,39 @@
 	"marblelane/internal/lab/invariant"
 )
 
-// Routes turns routes on in a run with real copies of the list service: what operators allow, and what sidecars read.
-// Times and shares that are 0 are left to the programs' defaults.
+// Routes turns on routes in a run with real replicas of the list service: what operators allow and what sidecars read.
+// A time or fraction of 0 means the default of the programs.
 type Routes struct {
-	LeaseTerm            Duration `toml:"term"`         // of the route lease
-	StragglerAfter       Duration `toml:"behind_after"` // after which a process is a straggler
-	ShutOutAfter         Duration `toml:"shut_after"`   // after which a straggler is shut out
-	GoneAfter            Duration `toml:"gone_after"`   // without a report after which it is gone
-	MaxStragglerFraction float64  `toml:"behind_share"` // with more stragglers none is shut out
-	Schemas              []int    `toml:"schemas"`      // that sidecars read; empty: all that they can
-	OldSchemaSidecars    int      `toml:"old"`          // the number of sidecars, the last ones, that read schema 1 alone
+	LeaseTerm            Duration `toml:"term"`         // term of the route lease
+	StragglerAfter       Duration `toml:"behind_after"` // time after which a process is a straggler
+	ShutOutAfter         Duration `toml:"shut_after"`   // time after which a straggler is shut out
+	GoneAfter            Duration `toml:"gone_after"`   // time without a report after which a process is gone
+	MaxStragglerFraction float64  `toml:"behind_share"` // fraction of stragglers above which none is shut out
+	Schemas              []int    `toml:"schemas"`      // schema versions that sidecars read; empty means all that they support
+	OldSchemaSidecars    int      `toml:"old"`          // number of sidecars, the last ones, that read only schema 1
 	SwapSchemas          bool     `toml:"swap"`         // a restarted process reads the schemas that its sidecar did not read before
-	KeylessFraction      float64  `toml:"keyless"`      // of clients, without a route key
-	Defect               string   `toml:"defect"`       // planted in the copies of the list service
+	KeylessFraction      float64  `toml:"keyless"`      // fraction of clients that send no route key
+	Defect               string   `toml:"defect"`       // planted defect of the replicas of the list service
 
 	Subsets []RouteSubset `toml:"subset"`
 	Tenants []RouteTenant `toml:"tenant"`
 }
 
-// RouteSubset is servers under a name that operators give them: those that match each key that is set.
+// RouteSubset is a named set of servers: those that match each key that is set.
 type RouteSubset struct {
 	Name    string   `toml:"name"`
 	Kinds   []string `toml:"kinds"`
 	Pods    []int    `toml:"pods"`
 	Zones   []string `toml:"zones"`
-	Servers string   `toml:"servers"` // drawn, as a fault's: 3, 20%, #4
+	Servers string   `toml:"servers"` // selector as of a fault: 3, 20%, #4
 }
 
-// RouteTenant is what operators allow a tenant.
+// RouteTenant holds the permissions that operators grant a tenant.
 type RouteTenant struct {
 	Name        string   `toml:"name"`
-	Subsets     []string `toml:"subsets"`
-	MaxFraction float64  `toml:"max_share"` // of its requests in a canary; 0: all
-	MaxRollouts int      `toml:"rollouts"`  // at a time; 0: one
+	Subsets     []string `toml:"subsets"`   // subsets that its rollouts can use
+	MaxFraction float64  `toml:"max_share"` // maximum fraction of its requests in a canary; 0 means all
+	MaxRollouts int      `toml:"rollouts"`  // maximum rollouts at the same time; 0 means one
 }
 
 // Rollout is a rollout that a tenant posts.
@@ -52,24 +52,24 @@
 	At        Duration      `toml:"at"`
 	Tenant    string        `toml:"tenant"`
 	Name      string        `toml:"name"`
-	Subset    string        `toml:"to"` // a subset
+	Subset    string        `toml:"to"` // target subset
 	Classes   []string      `toml:"classes"`
 	Steps     []RolloutStep `toml:"steps"`
-	Budget    int64         `toml:"budget"`
-	CountLate bool          `toml:"late"`
-	AtEnd     string        `toml:"at_end"`
-	PostTwice bool          `toml:"twice"` // the same text is posted a second time
+	Budget    int64         `toml:"budget"` // failures that the rollout may cause
+	CountLate bool          `toml:"late"`   // whether late responses count as failures
+	AtEnd     string        `toml:"at_end"` // "keep" (default) or "return", after the last step
+	PostTwice bool          `toml:"twice"`  // whether the same text is posted a second time
 }
 
-// RolloutStep is a fraction of the tenant's requests with the conditions to go on from it.
+// RolloutStep is a fraction of the tenant's requests and the conditions for the next step.
 type RolloutStep struct {
 	Fraction    float64  `toml:"share"`
-	Hold        Duration `toml:"hold"`
-	MinRequests int64    `toml:"requests"`
+	Hold        Duration `toml:"hold"`     // minimum time in the step
+	MinRequests int64    `toml:"requests"` // minimum requests in the step
 }
 
-// RouteCommand is a command of a tenant or an operator: "pause", "resume", "rollback" and "stop" of a rollout, "base" with
-// a subset, "schema" with the least version that processes have to read.
+// RouteCommand is a command of a tenant or an operator. "pause", "resume", "rollback" and "stop" act on a rollout,
+// "base" sets a tenant's base subset, and "schema" sets the minimum schema version that processes must read.
 type RouteCommand struct {
 	At             Duration `toml:"at"`
 	Action         string   `toml:"do"`
@@ -77,23 +77,25 @@
 	Rollout        string   `toml:"rollout"`
 	Subset         string   `toml:"to"`
 	MinSchema      int      `toml:"least"`
-	ExpectRejected bool     `toml:"refused"` // it has to be rejected
+	ExpectRejected bool     `toml:"refused"` // whether the command must be rejected
 }
 
-// AuditQuery is a query of the audit in the middle of a run: who acted on the newest revision in the time before.
+// AuditQuery is a query to the audit during a run: which processes acted on the newest revision in the
+// window before it.
 type AuditQuery struct {
 	At     Duration `toml:"at"`
 	Window Duration `toml:"before"`
 }
 
+// rolloutPhases returns the phases that an expected result can name.
 func rolloutPhases() []string {
 	return []string{"done", "rolled-back", "stopped", "running", "paused", "refused"}
 }
 
-// HasRoutes tells whether a scenario has routes at all.
+// HasRoutes reports whether the scenario has routes.
 func (s *Scenario) HasRoutes() bool { return len(s.Routes.Subsets) > 0 }
 
-// InvariantsToCheck lists the invariants that have to be checked on some case in a run of this scenario.
+// InvariantsToCheck returns the invariants that must be checked on at least one case in a run of this scenario.
 func (s *Scenario) InvariantsToCheck() []string {
 	if len(s.Expect.MustCheck) > 0 || len(s.Expect.MustBreak) > 0 || len(s.Rollouts) == 0 {
 		return s.Expect.MustCheck
@@ -105,7 +107,7 @@
 	return rules
 }
 
-// drawSubsets draws which servers each subset holds.
+// drawSubsets draws the servers of each subset.
 func (p *Plan) drawSubsets(r *rand.Rand) {
 	p.Subsets = map[string][]int{}
 	for _, sub := range p.Scenario.Routes.Subsets {
@@ -123,7 +125,8 @@
 	}
 }
 
-// matches tells whether a server matches the keys of a subset; drawn servers are left to drawSubsets.
+// matches reports whether a server matches the kinds, pods and zones of a subset. It ignores the selector Servers,
+// which drawSubsets applies.
 func (p *Plan) matches(sub *RouteSubset, i int) bool {
 	s, v := p.Scenario, &p.Servers[i]
 	return (len(sub.Kinds) == 0 || slices.Contains(sub.Kinds, s.Servers.Kinds[v.Kind].Name)) &&
@@ -131,7 +134,7 @@
 		(len(sub.Zones) == 0 || slices.Contains(sub.Zones, s.Network.Zones[v.Zone]))
 }
 
-// InSubset tells whether a server belongs to a subset, also one that takes another one's place.
+// InSubset reports whether a server belongs to a subset. A replacement of another server belongs by its properties.
 func (p *Plan) InSubset(name string, server int) bool {
 	if slices.Contains(p.Subsets[name], server) {
 		return true
@@ -140,12 +143,12 @@
 	return i >= 0 && p.Scenario.Routes.Subsets[i].Servers == "" && p.matches(&p.Scenario.Routes.Subsets[i], server)
 }
 
-// ReadsOldSchema tells whether a sidecar reads schema 1 alone.
+// ReadsOldSchema reports whether a sidecar reads only schema 1.
 func (s *Scenario) ReadsOldSchema(sidecar int) bool {
 	return sidecar >= s.Sidecars.Count-s.Routes.OldSchemaSidecars
 }
 
-// RunsOlderProgram tells whether a sidecar runs the older program.
+// RunsOlderProgram reports whether a sidecar runs the older program.
 func (s *Scenario) RunsOlderProgram(sidecar int) bool { return sidecar < s.Sidecars.OlderCount }
 
 func (s *Scenario) setRouteDefaults() {
@@ -165,19 +168,19 @@
 func (s *Scenario) checkRoutes() *invalidKey {
 	if !s.HasRoutes() {
 		if len(s.Rollouts)+len(s.RouteCommands)+len(s.AuditQueries)+len(s.Routes.Tenants) > 0 || s.Routes.OldSchemaSidecars > 0 || s.Routes.Defect != "" {
-			return invalid("routes.subset", "is missing: rollouts go to subsets")
+			return invalid("routes.subset", "is missing: routes and rollouts need subsets")
 		}
 		return nil
 	}
 	if s.Discovery.RegistryReplicas == 0 {
-		return invalid("discovery.registry", "is missing: routes need real copies of the list service")
+		return invalid("discovery.registry", "is missing: routes need real replicas of the list service")
 	}
 	if e := checkBounds(s.routeBounds()); e != nil {
 		return e
 	}
 	for i, n := range s.Routes.Schemas {
 		if n < 1 || n > 1000 {
-			return invalid(fmt.Sprintf("routes.schemas[%d]", i), "is no version")
+			return invalid(fmt.Sprintf("routes.schemas[%d]", i), "must be between 1 and 1000")
 		}
 	}
 	if e := s.checkSubsets(); e != nil {
@@ -206,15 +209,15 @@
 	for i, t := range s.Routes.Tenants {
 		key := fmt.Sprintf("routes.tenant[%d]", i)
 		if !s.hasTenant(t.Name) {
-			return invalid(key+".name", "%q is no tenant", t.Name)
+			return invalid(key+".name", "unknown tenant %q", t.Name)
 		}
 		for k, name := range t.Subsets {
 			if !s.hasSubset(name) {
-				return invalid(fmt.Sprintf("%s.subsets[%d]", key, k), "%q is no subset", name)
+				return invalid(fmt.Sprintf("%s.subsets[%d]", key, k), "unknown subset %q", name)
 			}
 		}
 		if !(t.MaxFraction > 0 && t.MaxFraction <= 1) || t.MaxRollouts < 1 || t.MaxRollouts > 100 {
-			return invalid(key+".max_share", "is not in (0, 1], or rollouts is not between 1 and 100")
+			return invalid(key+".max_share", "must be over 0 and at most 1, and rollouts must be between 1 and 100")
 		}
 	}
 	return nil
@@ -237,27 +240,27 @@
 	for i, sub := range s.Routes.Subsets {
 		key := fmt.Sprintf("routes.subset[%d]", i)
 		if sub.Name == "" || seen[sub.Name] || strings.Contains(sub.Name, ":") {
-			return invalid(key+".name", "%q is not a name of its own", sub.Name)
+			return invalid(key+".name", "name %q is empty, used twice or contains a colon", sub.Name)
 		}
 		seen[sub.Name] = true
 		for k, name := range sub.Kinds {
 			if !s.hasServerKind(name) {
-				return invalid(fmt.Sprintf("%s.kinds[%d]", key, k), "%q is no kind of servers", name)
+				return invalid(fmt.Sprintf("%s.kinds[%d]", key, k), "unknown kind of servers %q", name)
 			}
 		}
 		for k, name := range sub.Zones {
 			if !slices.Contains(s.Network.Zones, name) {
-				return invalid(fmt.Sprintf("%s.zones[%d]", key, k), "%q is no zone", name)
+				return invalid(fmt.Sprintf("%s.zones[%d]", key, k), "unknown zone %q", name)
 			}
 		}
 		for k, pod := range sub.Pods {
 			if !s.hasPod(pod) {
-				return invalid(fmt.Sprintf("%s.pods[%d]", key, k), "there is no pod %d", pod)
+				return invalid(fmt.Sprintf("%s.pods[%d]", key, k), "unknown pod %d", pod)
 			}
 		}
 		if sub.Servers != "" {
 			if strings.HasPrefix(sub.Servers, "subset:") {
-				return invalid(key+".servers", "a subset is of no other subset")
+				return invalid(key+".servers", "must not refer to another subset")
 			}
 			if err := s.checkServers(sub.Servers); err != nil {
 				return invalid(key+".servers", "%v", err)
@@ -273,43 +276,43 @@
 		o, key := &s.Rollouts[i], fmt.Sprintf("rollout[%d]", i)
 		switch {
 		case o.Name == "" || names[o.Name]:
-			return invalid(key+".name", "%q is not a name of its own", o.Name)
+			return invalid(key+".name", "name %q is empty or used twice", o.Name)
 		case o.At < 0 || o.At > s.Length:
-			return invalid(key+".at", "lies outside the run")
+			return invalid(key+".at", "must be within the run")
 		case !s.hasTenant(o.Tenant):
-			return invalid(key+".tenant", "%q is no tenant", o.Tenant)
+			return invalid(key+".tenant", "unknown tenant %q", o.Tenant)
 		case !s.hasSubset(o.Subset):
-			return invalid(key+".to", "%q is no subset", o.Subset)
+			return invalid(key+".to", "unknown subset %q", o.Subset)
 		case len(o.Steps) == 0 || len(o.Steps) > 100:
-			return invalid(key+".steps", "are not 1 to 100")
+			return invalid(key+".steps", "must be 1 to 100 steps")
 		case o.Budget < 0:
-			return invalid(key+".budget", "is negative")
+			return invalid(key+".budget", "must not be negative")
 		case o.AtEnd != "keep" && o.AtEnd != "return":
-			return invalid(key+".at_end", "%q is neither keep nor return", o.AtEnd)
+			return invalid(key+".at_end", "unknown value %q: must be keep or return", o.AtEnd)
 		}
 		names[o.Name] = true
 		for k, name := range o.Classes {
 			if !s.hasClass(name) {
-				return invalid(fmt.Sprintf("%s.classes[%d]", key, k), "%q is no class", name)
+				return invalid(fmt.Sprintf("%s.classes[%d]", key, k), "unknown class %q", name)
 			}
 		}
 		for k, st := range o.Steps {
 			if math.IsNaN(st.Fraction) || st.Hold < 0 || st.MinRequests < 0 {
-				return invalid(fmt.Sprintf("%s.steps[%d].share", key, k), "or hold or requests cannot be")
+				return invalid(fmt.Sprintf("%s.steps[%d].share", key, k), "must be a number, and hold and requests must not be negative")
 			}
 		}
 	}
 	for name, end := range s.Expect.RolloutPhases {
 		if !names[name] || !slices.Contains(rolloutPhases(), end) {
-			return invalid("expect.rollout_ends."+name, "there is no such rollout, or %q is none of %s", end, strings.Join(rolloutPhases(), ", "))
+			return invalid("expect.rollout_ends."+name, "unknown rollout, or phase %q is not one of %s", end, strings.Join(rolloutPhases(), ", "))
 		}
 	}
 	if s.Expect.FractionError != nil && !(*s.Expect.FractionError >= 0) {
-		return invalid("expect.share_error", "is negative")
+		return invalid("expect.share_error", "must not be negative")
 	}
 	for i, rule := range s.Expect.MustCheck {
 		if !IsInvariant(rule) {
-			return invalid(fmt.Sprintf("expect.checks[%d]", i), "%q is no rule", rule)
+			return invalid(fmt.Sprintf("expect.checks[%d]", i), "unknown invariant %q", rule)
 		}
 	}
 	return s.checkRouteCommands(names)
@@ -319,28 +322,28 @@
 	for i := range s.RouteCommands {
 		o, key := &s.RouteCommands[i], fmt.Sprintf("order[%d]", i)
 		if o.At < 0 || o.At > s.Length {
-			return invalid(key+".at", "lies outside the run")
+			return invalid(key+".at", "must be within the run")
 		}
 		switch o.Action {
 		case "pause", "resume", "rollback", "stop":
 			if !names[o.Rollout] || o.Subset != "" || o.MinSchema != 0 {
-				return invalid(key+".rollout", "%q is no rollout, or to or least is set", o.Rollout)
+				return invalid(key+".rollout", "unknown rollout %q, or to or least is set", o.Rollout)
 			}
 		case "base":
 			if !s.hasTenant(o.Tenant) || !s.hasSubset(o.Subset) {
-				return invalid(key+".to", "a base is a tenant's and a subset's")
+				return invalid(key+".to", "base needs a known tenant and a known subset")
 			}
 		case "schema":
 			if o.MinSchema < 1 || o.Tenant != "" || o.Rollout != "" {
-				return invalid(key+".least", "is not at least 1, or the order names a tenant or rollout")
+				return invalid(key+".least", "must be at least 1, and tenant and rollout must not be set")
 			}
 		default:
-			return invalid(key+".do", "%q is none of pause, resume, rollback, stop, base, schema", o.Action)
+			return invalid(key+".do", "unknown command %q: must be one of pause, resume, rollback, stop, base, schema", o.Action)
 		}
 	}
 	for i, a := range s.AuditQueries {
 		if a.At <= 0 || a.At > s.Length || a.Window <= 0 {
-			return invalid(fmt.Sprintf("ask[%d].at", i), "lies outside the run, or before is not over 0")
+			return invalid(fmt.Sprintf("ask[%d].at", i), "must be within the run, and before must be over 0")
 		}
 	}
 	return nil
--- a/internal/lab/scenario/routes_test.go
+++ b/internal/lab/scenario/routes_test.go
@@ -60,35 +60,35 @@
 rollout_ends = { fresh = "rolled-back" }
 `
 
-// What cannot be meant of routes names its key.
+// An invalid key of routes yields an error with the path of the key.
 func TestParse_routeErrors(t *testing.T) {
 	_, err := Parse("good.toml", []byte(routeScenario))
 	require.NoError(t, err)
 	for _, c := range []struct{ old, to, key, text string }{
-		{`registry = 3`, `copies = 3`, "discovery.registry", "real copies"},
-		{`term = "2s"`, `term = "-2s"`, "routes.term", "not between"},
-		{`term = "2s"`, `old = 9`, "routes.old", "not between"},
-		{`term = "2s"`, `keyless = 2.0`, "routes.keyless", "not between"},
-		{`name = "older"`, `name = "new"`, "routes.subset[1].name", "of its own"},
-		{`servers = "25%"`, `servers = "subset:older"`, "routes.subset[0].servers", "no other subset"},
+		{`registry = 3`, `copies = 3`, "discovery.registry", "real replicas"},
+		{`term = "2s"`, `term = "-2s"`, "routes.term", "must be between"},
+		{`term = "2s"`, `old = 9`, "routes.old", "must be between"},
+		{`term = "2s"`, `keyless = 2.0`, "routes.keyless", "must be between"},
+		{`name = "older"`, `name = "new"`, "routes.subset[1].name", "used twice"},
+		{`servers = "25%"`, `servers = "subset:older"`, "routes.subset[0].servers", "must not refer to another subset"},
 		{`servers = "25%"`, `servers = "9"`, "routes.subset[0].servers", "up to 8"},
-		{`kinds = ["older"]`, `kinds = ["oldest"]`, "routes.subset[1].kinds[0]", "no kind"},
-		{`zones = ["cork-dc"]`, `zones = ["here"]`, "routes.subset[1].zones[0]", "no zone"},
-		{`zones = ["cork-dc"]`, `pods = [2]`, "routes.subset[1].pods[0]", "no pod"},
-		{`subsets = ["new"]`, `subsets = ["newest"]`, "routes.tenant[0].subsets[0]", "no subset"},
-		{`subsets = ["new"]`, `max_share = 2.0`, "routes.tenant[0].max_share", "not in"},
-		{`to = "new"`, `to = "newest"`, "rollout[0].to", "no subset"},
-		{`budget = 5`, `budget = -5`, "rollout[0].budget", "negative"},
-		{`budget = 5`, `at_end = "stay"`, "rollout[0].at_end", "neither"},
-		{`budget = 5`, `classes = ["none"]`, "rollout[0].classes[0]", "no class"},
-		{`do = "pause"`, `do = "sleep"`, "order[0].do", "none of"},
-		{`rollout = "fresh"`, `rollout = "stale"`, "order[0].rollout", "no rollout"},
-		{`classes = ["parcel-issue"]`, `classes = ["none"]`, "fault[0].classes", "no class"},
-		{`classes = ["parcel-issue"]`, `zone = "here"`, "fault[0].zone", "no zone"},
+		{`kinds = ["older"]`, `kinds = ["oldest"]`, "routes.subset[1].kinds[0]", "unknown kind of servers"},
+		{`zones = ["cork-dc"]`, `zones = ["here"]`, "routes.subset[1].zones[0]", "unknown zone"},
+		{`zones = ["cork-dc"]`, `pods = [2]`, "routes.subset[1].pods[0]", "unknown pod"},
+		{`subsets = ["new"]`, `subsets = ["newest"]`, "routes.tenant[0].subsets[0]", "unknown subset"},
+		{`subsets = ["new"]`, `max_share = 2.0`, "routes.tenant[0].max_share", "over 0 and at most 1"},
+		{`to = "new"`, `to = "newest"`, "rollout[0].to", "unknown subset"},
+		{`budget = 5`, `budget = -5`, "rollout[0].budget", "must not be negative"},
+		{`budget = 5`, `at_end = "stay"`, "rollout[0].at_end", "must be keep or return"},
+		{`budget = 5`, `classes = ["none"]`, "rollout[0].classes[0]", "unknown class"},
+		{`do = "pause"`, `do = "sleep"`, "order[0].do", "must be one of"},
+		{`rollout = "fresh"`, `rollout = "stale"`, "order[0].rollout", "unknown rollout"},
+		{`classes = ["parcel-issue"]`, `classes = ["none"]`, "fault[0].classes", "unknown class"},
+		{`classes = ["parcel-issue"]`, `zone = "here"`, "fault[0].zone", "is unknown"},
 		{`servers = "subset:new"`, `servers = "subset:newest"`, "fault[0].servers", "unknown subset"},
 		{`kind = "fail"`, `kind = "drop"`, "fault[0].classes", "only a fail or slow"},
-		{`"rolled-back"`, `"over"`, "expect.rollout_ends.fresh", "none of"},
-		{`[expect]`, "[expect]\nchecks = [\"honesty\"]", "expect.checks[0]", "no rule"},
+		{`"rolled-back"`, `"over"`, "expect.rollout_ends.fresh", "not one of"},
+		{`[expect]`, "[expect]\nchecks = [\"honesty\"]", "expect.checks[0]", "unknown invariant"},
 	} {
 		t.Run(c.key, func(t *testing.T) {
 			require.Contains(t, routeScenario, c.old)
@@ -101,7 +101,7 @@
 	}
 }
 
-// Subsets are drawn from the seed, and faults find them; what is drawn for them moves nothing else of the plan.
+// Subsets are drawn from the seed, and faults can select them. Drawing them changes nothing else in the plan.
 func TestPlan_subsets(t *testing.T) {
 	s, err := Parse("good.toml", []byte(routeScenario))
 	require.NoError(t, err)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,5 +1,6 @@
-// Package scenario reads scenario files: fleet, workload, fault injection and expected results of a run. It draws the
-// plan of a run from a seed. A file that makes no sense gives one error that names file, line and key.
+// Package scenario reads and validates scenario files: the fleet, the workload, the faults and the expected results of
+// a run. From a scenario and a seed it draws the plan of a run. An invalid file yields one error with its file, line
+// and key.
 package scenario
 
 import (
@@ -9,25 +10,25 @@
 	"marblelane/internal/tomlfile"
 )
 
-// Duration is a time in a file, written with its unit: "250ms", "10s".
+// Duration is a time that a file states with its unit: "250ms", "10s".
 type Duration = tomlfile.Duration
 
-// Range is two figures between which one is drawn for each thing.
+// Range is the lower and upper bound between which a value is drawn.
 type Range [2]float64
 
-// contains tells whether a figure lies in the range.
-func (r Range) contains(figure float64) bool { return figure >= r[0] && figure <= r[1] }
+// contains reports whether a value lies in the range, bounds included.
+func (r Range) contains(value float64) bool { return value >= r[0] && value <= r[1] }
 
-// At is the figure at a fraction of the range.
+// At returns the value at a fraction of the range: the lower bound at 0, the upper bound at 1.
 func (r Range) At(fraction float64) float64 { return r[0] + (r[1]-r[0])*fraction }
 
-// Scenario is one run as its file describes it, with defaults for what the file leaves out.
+// Scenario describes one run: the contents of a file, with defaults for the keys that the file omits.
 type Scenario struct {
 	Name   string   `toml:"-"`
 	Title  string   `toml:"title"`
 	Seed   uint64   `toml:"seed"`
 	Length Duration `toml:"length"`
-	// WarmUp is the first part of the run, which figures leave out; invariants hold in it, too.
+	// WarmUp is the start of the run that the measured results exclude. Invariants are checked in it, too.
 	WarmUp Duration `toml:"warm_up"`
 
 	Sidecars      Sidecars       `toml:"sidecars"`
@@ -44,40 +45,40 @@
 	Rollouts      []Rollout      `toml:"rollout"`
 	RouteCommands []RouteCommand `toml:"order"`
 	AuditQueries  []AuditQuery   `toml:"ask"`
-	Members       *Members       `toml:"members"` // nil: membership is off
+	Members       *Members       `toml:"members"` // nil means that membership is off
 	Expect        Expect         `toml:"expect"`
 }
 
-// Sidecars are the copies of the program.
+// Sidecars describes the sidecar processes.
 type Sidecars struct {
 	Count int `toml:"count"`
-	// Program is the program's file; empty: sidecar as the command finds it; "none": clients go straight to
-	// the servers in turn, as a baseline.
+	// Program is the path of the sidecar program. An empty value means the one that the command finds, and "none" a
+	// baseline without sidecars: clients send to the servers directly, in rotation.
 	Program     string  `toml:"program"`
-	OlderCount  int     `toml:"older"` // the first ones, which run the older program that the command names, without routes
+	OlderCount  int     `toml:"older"` // number of sidecars, the first ones, that run the command's older program, without routes
 	Cores       float64 `toml:"cores"`
 	MemoryMB    int     `toml:"memory_mb"`
 	MaxSockets  int     `toml:"sockets"`
-	TrafficSkew float64 `toml:"skew"` // coefficient of variation of the traffic between them
+	TrafficSkew float64 `toml:"skew"` // coefficient of variation of the traffic from sidecar to sidecar
 }
 
-// Servers are the stand-in servers.
+// Servers describes the stand-in servers.
 type Servers struct {
 	Count         int          `toml:"count"`
 	PodSize       int          `toml:"pod_size"`
-	LimitedPods   float64      `toml:"limited_pods"` // fraction of pods whose servers share a limit
-	PodLimit      Range        `toml:"pod_limit"`    // of their capacity
+	LimitedPods   float64      `toml:"limited_pods"` // fraction of the pods that have a limit, which their servers share
+	PodLimit      Range        `toml:"pod_limit"`    // limit of a pod as a fraction of the capacity of its servers
 	Kinds         []ServerKind `toml:"kind"`
 	MaxConns      int          `toml:"max_conns"`
-	HandshakeWork Duration     `toml:"handshake"` // work of a new connection
+	HandshakeWork Duration     `toml:"handshake"` // work that a new connection costs the server
 	IdleTimeout   Duration     `toml:"idle"`
-	Jam           bool         `toml:"jam"`
-	NoCancel      bool         `toml:"no_cancel"`
-	// OverloadMultiple is the multiple of their capacity at which they crash; 0: as in Rules.
+	Jam           bool         `toml:"jam"`       // overloaded servers slow down until they have been idle for a time
+	NoCancel      bool         `toml:"no_cancel"` // a server completes a request that it works on after its client has left
+	// OverloadMultiple is the multiple of its capacity at which a server crashes. 0 means the multiple in Rules.
 	OverloadMultiple float64 `toml:"fall_multiple"`
 }
 
-// ServerKind is one kind of machine.
+// ServerKind is a kind of server machine.
 type ServerKind struct {
 	Name            string   `toml:"name"`
 	Fraction        float64  `toml:"share"`
@@ -86,72 +87,73 @@
 	Queue           int      `toml:"queue"`
 	InitialCapacity float64  `toml:"cold_from"`
 	SlowStart       Duration `toml:"cold"`
-	// The ranges below are drawn once for a kind in each plan. SlotsPerCore is how many requests a core works on at the same
-	// time; the others wait.
+	// In each plan, one value is drawn for a kind from each range below. SlotsPerCore is the number of requests that a
+	// core works on at the same time. Further requests wait.
 	SlotsPerCore Range `toml:"slots_per_core"`
-	// A server pauses on average each PauseEvery seconds (0: never) for up to PauseLength milliseconds, longer by the factor
-	// 1 + PauseGrowth with all slots in use.
+	// A server pauses every PauseEvery seconds on average (0 means never), for up to PauseLength milliseconds. With all
+	// slots in use the pause is longer by the factor 1 + PauseGrowth.
 	PauseEvery  Range `toml:"pause_every_s"`
 	PauseLength Range `toml:"pause_ms"`
 	PauseGrowth Range `toml:"pause_grow"`
 }
 
-// Network is the latency between processes without faults.
+// Network describes the zones and the latency between processes in the absence of faults.
 type Network struct {
 	Zones     []string `toml:"zones"`
-	SameZone  Duration `toml:"same"`  // one way inside a zone
-	CrossZone Duration `toml:"cross"` // one way between zones
+	SameZone  Duration `toml:"same"`  // one-way latency inside a zone
+	CrossZone Duration `toml:"cross"` // one-way latency between zones
 	Jitter    float64  `toml:"jitter"`
-	// Regions groups zones, also in the sidecars' configuration. Empty: there are none.
+	// Regions lists the zones of each region, also for the configuration of the sidecars. Empty means no regions.
 	Regions         [][]string `toml:"regions"`
-	CrossRegion     Duration   `toml:"far"`      // one way between regions
-	CrossRegionCost float64    `toml:"far_cost"` // of an answer from another region, as a multiple of one from another zone
-	// ServersByZone is the ratio of the pods in each zone, in the order of Zones; empty: as many in each.
+	CrossRegion     Duration   `toml:"far"`      // one-way latency between regions
+	CrossRegionCost float64    `toml:"far_cost"` // cost of a response across regions, as a multiple of one across zones
+	// ServersByZone is the ratio of the pods in each zone, in the order of Zones. Empty means equal numbers.
 	ServersByZone []int `toml:"split"`
 }
 
-// Traffic is the workload: what clients do.
+// Traffic describes the workload that the clients send.
 type Traffic struct {
-	// Load is the offered load as a fraction of the servers' capacity; Rate, in requests a second, comes before it.
+	// Load is the offered load as a fraction of the servers' capacity. Rate, in requests per second, takes precedence.
 	Load      float64 `toml:"load"`
 	Rate      float64 `toml:"rate"`
-	RateSwing float64 `toml:"swing"` // amplitude of the rate, which rises and falls once in a run
-	// Speedup divides work, objectives and deadlines, so that a short run holds more requests.
+	RateSwing float64 `toml:"swing"` // amplitude of the rate as a fraction of it; the rate rises and falls once in a run
+	// Speedup divides work, objectives and deadlines, so that a short run contains more requests.
 	Speedup                float64  `toml:"pace"`
 	Retries                int      `toml:"retries"`
 	Backoff                Duration `toml:"backoff"`
-	AttemptTimeoutFraction float64  `toml:"try_share"` // of a class's deadline, after which a client attempt times out
+	AttemptTimeoutFraction float64  `toml:"try_share"` // timeout of a client attempt as a fraction of the deadline of its class
 	RetryAfterFraction     float64  `toml:"honour"`    // fraction of clients that wait for Retry-After
-	EarlyLeaveFraction     float64  `toml:"impatient"` // fraction of client attempts that end early
-	LeaveModes             []string `toml:"leave"`     // how they end, one of LeaveModes drawn for each; empty: LeaveClose
-	PipelinedFraction      float64  `toml:"pipelined"` // fraction of client attempts followed by the first bytes of a next request
+	EarlyLeaveFraction     float64  `toml:"impatient"` // fraction of client attempts that the client abandons before the response
+	LeaveModes             []string `toml:"leave"`     // ways in which it abandons them, one drawn for each; empty means LeaveClose
+	PipelinedFraction      float64  `toml:"pipelined"` // fraction of client attempts followed by the first bytes of the next request
 	ResponseBytes          int      `toml:"answer"`
 }
 
-// Discovery is when a change of a server reaches the sidecars, and by which list services.
+// Discovery describes the list services, and when a change of a server reaches the sidecars through them.
 type Discovery struct {
-	DrainDelay       Duration `toml:"notice"`        // of the notice that a server drains
-	CrashDelay       Duration `toml:"silent_notice"` // of the notice that a server has crashed
-	AddDelay         Duration `toml:"add"`           // of the notice that a server has started
-	Spread           Duration `toml:"spread"`        // from the first sidecar to the last
-	Services         int      `toml:"copies"`        // list services; a sidecar follows all of them
-	RegistryReplicas int      `toml:"registry"`      // replicas of the real list service in place of stand-ins; 0: stand-ins
-	MaxStaleness     Duration `toml:"most_stale"`    // of those replicas
-	Zones            []string `toml:"zones"`         // of the list services, in their order; empty: not configured in sidecars
-	SuspectFraction  float64  `toml:"doubt_share"`   // of a list that shrinks, from which sidecars suspect it; 0: never
-	StaleAfter       Duration `toml:"stale"`         // age of the list from which sidecars rely on outcomes; 0: never
+	DrainDelay       Duration `toml:"notice"`        // delay of the notice that a server drains
+	CrashDelay       Duration `toml:"silent_notice"` // delay of the notice that a server has crashed
+	AddDelay         Duration `toml:"add"`           // delay of the notice that a server has started
+	Spread           Duration `toml:"spread"`        // time between the notice to the first sidecar and to the last
+	Services         int      `toml:"copies"`        // number of list services, all of which each sidecar follows
+	RegistryReplicas int      `toml:"registry"`      // number of replicas of the real list service; 0 means stand-ins
+	MaxStaleness     Duration `toml:"most_stale"`    // as in Registry, for these replicas
+	Zones            []string `toml:"zones"`         // zone of each list service; empty means none in the sidecars' configuration
+	SuspectFraction  float64  `toml:"doubt_share"`   // fraction by which a list must shrink for sidecars to suspect it; 0 means never
+	StaleAfter       Duration `toml:"stale"`         // age of the list from which sidecars rely on outcomes of requests; 0 means never
 }
 
-// Registry is a run of the real list service without sidecars: replicas of it, writers and watchers.
+// Registry describes a run of the real list service without sidecars: its replicas, writers and watchers.
 type Registry struct {
-	Replicas          int      `toml:"copies"` // 0: the run is one of sidecars
+	Replicas          int      `toml:"copies"` // 0 means a run with sidecars
 	Writers           int      `toml:"writers"`
 	Watchers          int      `toml:"watchers"`
-	Entries           int      `toml:"entries"` // that writers change
-	WriterPause       Duration `toml:"pause"`   // between two calls of a writer
-	HeartbeatInterval Duration `toml:"beat"`    // of its leader
-	Program           string   `toml:"program"` // the program's file; empty: the one that runs
-	// MaxStaleness is the time without a leader after which a replica rejects reads and ends its watches; 0: never.
+	Entries           int      `toml:"entries"` // number of entries that the writers change
+	WriterPause       Duration `toml:"pause"`   // time between two calls of a writer
+	HeartbeatInterval Duration `toml:"beat"`    // heartbeat interval of the leader
+	Program           string   `toml:"program"` // path of the program; empty means the running one
+	// MaxStaleness is the time without a leader after which a replica rejects reads and ends its watches. 0 means
+	// never.
 	MaxStaleness Duration `toml:"most_stale"`
 }
 
@@ -166,78 +168,78 @@
 	AnswerSlack      Duration `toml:"answer_slack"`
 	CrossZoneCost    float64  `toml:"cross_price"`
 	HealthChecks     bool     `toml:"probes"`
-	ReadyWithin      Duration `toml:"ready_within"` // of a restarted process
+	ReadyWithin      Duration `toml:"ready_within"` // time within which a restarted process must be ready
 }
 
-// The distributions of a class's work.
+// Distributions of the work of a class.
 const (
-	DistLognormal   = "lognormal" // with the class's CV; 0: all alike
+	DistLognormal   = "lognormal" // with the CV of the class; a CV of 0 means equal work for all requests
 	DistExponential = "exp"
 )
 
-// The effects of a class's requests on a server.
+// Effects of the requests of a class on a server.
 const (
 	EffectIdempotent    = "safe"
-	EffectNonIdempotent = "unsafe" // not idempotent: it must not run twice
+	EffectNonIdempotent = "unsafe" // a request must not run twice
 )
 
-// Class is one class of requests.
+// Class is a class of requests.
 type Class struct {
 	Name     string   `toml:"name"`
 	Fraction float64  `toml:"share"`
-	Work     Duration `toml:"work"` // mean, on a core of speed 1
-	Dist     string   `toml:"dist"` // of the work: "lognormal" (by CV; 0: all alike) or "exp"
-	CV       float64  `toml:"cv"`
-	// AttemptNoise is the coefficient of variation of the work from one attempt of a request to another.
+	Work     Duration `toml:"work"` // mean work of a request on a core of speed 1
+	Dist     string   `toml:"dist"` // distribution of the work: DistLognormal or DistExponential
+	CV       float64  `toml:"cv"`   // coefficient of variation of lognormal work; 0 means equal work for all requests
+	// AttemptNoise is the coefficient of variation of the work among the attempts of one request.
 	AttemptNoise   float64  `toml:"attempt_noise"`
 	Objective      Duration `toml:"aim"`
 	Deadline       Duration `toml:"deadline"`
 	PriorityWeight float64  `toml:"worth"`
-	Effect         string   `toml:"effect"` // "safe" or "unsafe"
-	BodyBytes      int      `toml:"body"`   // bytes of a request that has one
+	Effect         string   `toml:"effect"` // EffectIdempotent or EffectNonIdempotent
+	BodyBytes      int      `toml:"body"`   // size of the request body; 0 means no body
 }
 
-// Tenant is one customer.
+// Tenant is a customer whose requests the sidecars carry.
 type Tenant struct {
 	Name        string  `toml:"name"`
 	Fraction    float64 `toml:"share"`
-	UsageFactor float64 `toml:"usage"` // its traffic over its fraction
+	UsageFactor float64 `toml:"usage"` // ratio of its traffic to its fraction
 }
 
-// Expect is what the result has to be; an absent key expects nothing. Fractions are of the run after its warm-up.
+// Expect holds the expected results of a run. An absent key expects nothing. Results exclude the warm-up.
 type Expect struct {
-	InObjective      *float64  `toml:"in_aim"`        // weighted fraction served within the latency objective, at least
-	WorstInObjective *float64  `toml:"worst_in_aim"`  // the same in the worst 5 s, at least
-	Rejected         *float64  `toml:"refused"`       // fraction of client attempts, at most
-	Failed           *float64  `toml:"failed"`        // fraction of client attempts, at most
-	Attempts         *float64  `toml:"attempts"`      // of servers for each client attempt that was forwarded, at most
-	CrossZone        *float64  `toml:"cross_zone"`    // fraction of server attempts, at most
-	WastedWork       *float64  `toml:"waste"`         // fraction of servers' work, at most
-	P99              *Duration `toml:"p99"`           // of the time of answers that were served, at most
-	MemoryGrowth     *float64  `toml:"memory_growth"` // of a sidecar's RSS in the second half, at most
-	// RolloutPhases is the phase of each rollout at the end; "refused": it was rejected.
+	InObjective      *float64  `toml:"in_aim"`        // minimum weighted fraction of requests served within the latency objective
+	WorstInObjective *float64  `toml:"worst_in_aim"`  // minimum of the same fraction in the worst 5 s
+	Rejected         *float64  `toml:"refused"`       // maximum fraction of client attempts rejected
+	Failed           *float64  `toml:"failed"`        // maximum fraction of client attempts failed
+	Attempts         *float64  `toml:"attempts"`      // maximum server attempts for each client attempt that was forwarded
+	CrossZone        *float64  `toml:"cross_zone"`    // maximum fraction of server attempts across zones
+	WastedWork       *float64  `toml:"waste"`         // maximum fraction of the servers' work that is wasted
+	P99              *Duration `toml:"p99"`           // maximum 99th percentile of the latency of served responses
+	MemoryGrowth     *float64  `toml:"memory_growth"` // maximum growth of a sidecar's RSS in the second half of the run
+	// RolloutPhases maps each rollout to its phase at the end of the run. "refused" means that it was rejected.
 	RolloutPhases map[string]string `toml:"rollout_ends"`
-	// FractionError is the greatest difference between the fraction that servers saw and a step's, of steps with 100 or more
-	// first attempts.
+	// FractionError is the maximum difference between the fraction of a rollout step and the fraction that servers
+	// received in it. Only steps with at least 100 first attempts count.
 	FractionError *float64 `toml:"share_error"`
-	// MustCheck names the invariants that have to be checked on some case; empty: those of rollouts, where there are any.
+	// MustCheck names the invariants that must be checked on at least one case. Empty means those of InvariantsToCheck.
 	MustCheck []string `toml:"checks"`
-	// Of membership: how many members each one knows at the end, and the longest times until all detect a death, remove
-	// the dead member, agree after the last fault, and admit a joining member.
+	// Members is the number of members that each member knows at the end of the run. The times are the maximum times
+	// until all members detect a death, remove the dead member, agree after the last fault, and admit a joining member.
 	Members        *int      `toml:"members"`
 	DetectWithin   *Duration `toml:"noticed"`
 	RemoveWithin   *Duration `toml:"counted_out"`
 	ConvergeWithin *Duration `toml:"agree"`
 	AdmitWithin    *Duration `toml:"admitted"`
-	// MustBreak names the invariants that have to be broken: a scenario with a planted defect.
+	// MustBreak names the invariants that must be broken, in a scenario with a planted defect.
 	MustBreak []string `toml:"breaks"`
 }
 
-// Read reads a scenario from a file.
+// Read reads and validates a scenario file.
 func Read(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("scenario: %w", err)
+		return nil, fmt.Errorf("read scenario: %w", err)
 	}
 	return Parse(path, text)
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -49,34 +49,34 @@
 		{"wrong type", `count = 8`, `count = "eight"`, 6, "servers.count", ""},
 		{"unknown zone", `servers = "25%"`, `servers = "zone:atlantis"`, 15, "fault[0].servers", `unknown zone "atlantis"`},
 		{"no latency", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", `kind = "latency"`, 0, "fault[0].latency", "is missing"},
-		{"negative latency", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", "kind = \"latency\"\nlatency = \"-5ms\"", 15, "fault[0].latency", "is negative"},
+		{"negative latency", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", "kind = \"latency\"\nlatency = \"-5ms\"", 15, "fault[0].latency", "must not be negative"},
 		{"no errno", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", "kind = \"sidecar-call\"\ncall = \"accept\"", 0, "fault[0].errno", "is missing"},
-		{"no way of a cut", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", "kind = \"cut\"\nway = \"in\"", 15, "fault[0].way", "none of to, from, both"},
+		{"unknown way of a cut", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", "kind = \"cut\"\nway = \"in\"", 15, "fault[0].way", "must be one of to, from, both"},
 		{"replica of a stand-in", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", `kind = "copy-kill"`, 14, "fault[0].kind", "replicas of the list service"},
-		{"no members", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", `kind = "members-refuse"`, 14, "fault[0].kind", "no section members"},
-		{"unknown fault", `kind = "slow"`, `kind = "sloow"`, 14, "fault[0].kind", "no kind of fault"},
+		{"fault of members without members", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", `kind = "members-refuse"`, 14, "fault[0].kind", "needs a section members"},
+		{"unknown fault", `kind = "slow"`, `kind = "sloow"`, 14, "fault[0].kind", "unknown kind of fault"},
 		{"too many servers", `servers = "25%"`, `servers = "9"`, 15, "fault[0].servers", "up to 8"},
-		{"no such server", `servers = "25%"`, `servers = "#8"`, 15, "fault[0].servers", "there is no #8"},
-		{"size", `size = 3`, `size = 0.5`, 16, "fault[0].size", "not between"},
-		{"no time", `for = "2s"`, ``, 0, "fault[0].for", "is missing"},
-		{"late fault", `at = "1s"`, `at = "6s"`, 12, "fault[0].at", "outside the run"},
+		{"unknown server", `servers = "25%"`, `servers = "#8"`, 15, "fault[0].servers", "unknown number #8"},
+		{"size", `size = 3`, `size = 0.5`, 16, "fault[0].size", "must be between"},
+		{"no duration", `for = "2s"`, ``, 0, "fault[0].for", "is missing"},
+		{"fault after the run", `at = "1s"`, `at = "6s"`, 12, "fault[0].at", "must be within the run"},
 		{"way", `size = 3`, "size = 3\nway = \"up\"", 17, "fault[0].way", "only a cut"},
 		{"share of another fault", `size = 3`, "size = 3\nshare = 0.5", 17, "fault[0].share", "accept-late"},
-		{"way to leave", `load = 0.5`, "load = 0.5\nleave = [\"close\", \"run\"]", 10, "traffic.leave[1]", "no way to leave"},
+		{"unknown leave mode", `load = 0.5`, "load = 0.5\nleave = [\"close\", \"run\"]", 10, "traffic.leave[1]", "unknown mode"},
 		{"pipelined", `load = 0.5`, "load = 0.5\npipelined = 2.0", 10, "traffic.pipelined", "out of range"},
-		{"size of a leave", "for = \"2s\"\nkind = \"slow\"\nservers = \"25%\"\nsize = 3", "kind = \"leave\"\nsize = 2", 14, "fault[0].size", "not between"},
+		{"size of a leave", "for = \"2s\"\nkind = \"slow\"\nservers = \"25%\"\nsize = 3", "kind = \"leave\"\nsize = 2", 14, "fault[0].size", "must be between"},
 		{"silent", `size = 3`, "size = 3\nsilent = true", 17, "fault[0].silent", "only an idle-close"},
-		{"no turns of a rush", "for = \"2s\"\nkind = \"slow\"\nservers = \"25%\"", `kind = "rush"`, 0, "fault[0].every", "from one sidecar to the next"},
-		{"idle clients", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", "kind = \"idle-fill\"\nsize = 0", 15, "fault[0].size", "not between"},
-		{"servers of a whole list", `kind = "slow"`, `kind = "list-whole"`, 15, "fault[0].servers", "concerns none"},
-		{"no turns", "for = \"2s\"\nkind = \"slow\"\nservers = \"25%\"\nsize = 3", `kind = "sidecar-term"`, 0, "fault[0].every", "from one sidecar to the next"},
-		{"class dist", `[traffic]`, "[[class]]\nname = \"a\"\nshare = 1\nwork = \"1ms\"\naim = \"1s\"\ndeadline = \"4s\"\ndist = \"flat\"\n[traffic]", 14, "class[0].dist", "neither lognormal nor exp"},
+		{"rush without every", "for = \"2s\"\nkind = \"slow\"\nservers = \"25%\"", `kind = "rush"`, 0, "fault[0].every", "from one sidecar to the next"},
+		{"size of an idle-fill", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", "kind = \"idle-fill\"\nsize = 0", 15, "fault[0].size", "must be between"},
+		{"servers of a whole list", `kind = "slow"`, `kind = "list-whole"`, 15, "fault[0].servers", "does not act on servers"},
+		{"sidecar-term without every", "for = \"2s\"\nkind = \"slow\"\nservers = \"25%\"\nsize = 3", `kind = "sidecar-term"`, 0, "fault[0].every", "from one sidecar to the next"},
+		{"class dist", `[traffic]`, "[[class]]\nname = \"a\"\nshare = 1\nwork = \"1ms\"\naim = \"1s\"\ndeadline = \"4s\"\ndist = \"flat\"\n[traffic]", 14, "class[0].dist", "must be lognormal or exp"},
 		{"slots", `[traffic]`, "[[servers.kind]]\nname = \"a\"\nshare = 1\nslots_per_core = [4, 2]\n[traffic]", 11, "servers.kind[0].slots_per_core", "the smaller one first"},
 		{"class without aim", `[traffic]`, "[[class]]\nname = \"a\"\nshare = 1\nwork = \"1ms\"\ndeadline = \"4s\"\n[traffic]", 0, "class[0].aim", "at most the deadline"},
 		{"deadline without a unit", `[traffic]`, "[[class]]\nname = \"a\"\ndeadline = 4\n[traffic]", 10, "class[0].deadline", "needs a number and a unit"},
-		{"class effect", `[traffic]`, "[[class]]\nname = \"a\"\nshare = 1\nwork = \"1ms\"\naim = \"1s\"\ndeadline = \"4s\"\neffect = \"maybe\"\n[traffic]", 14, "class[0].effect", "neither safe nor unsafe"},
-		{"no toml", `[servers]`, `[servers`, 5, "", ""},
-		{"rule", `[traffic]`, "[expect]\nbreaks = [\"honesty\"]\n[traffic]", 9, "expect.breaks[0]", "no rule"},
+		{"class effect", `[traffic]`, "[[class]]\nname = \"a\"\nshare = 1\nwork = \"1ms\"\naim = \"1s\"\ndeadline = \"4s\"\neffect = \"maybe\"\n[traffic]", 14, "class[0].effect", "must be safe or unsafe"},
+		{"invalid TOML", `[servers]`, `[servers`, 5, "", ""},
+		{"invariant", `[traffic]`, "[expect]\nbreaks = [\"honesty\"]\n[traffic]", 9, "expect.breaks[0]", "unknown invariant"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			text := strings.Replace(validScenario, c.old, c.to, 1)
@@ -106,7 +106,7 @@
 	return b.Bytes()
 }
 
-// The same seed gives the same bytes on any machine.
+// The same seed yields the same schedule on any machine.
 func TestPlan_schedule(t *testing.T) {
 	s, err := Parse("good.toml", []byte(validScenario))
 	if err != nil {
@@ -114,10 +114,10 @@
 	}
 	one := scheduleBytes(t, s, 7)
 	if !bytes.Equal(one, scheduleBytes(t, s, 7)) {
-		t.Error("the same seed gave two schedules")
+		t.Error("two plans of seed 7 have different schedules")
 	}
 	if bytes.Equal(one, scheduleBytes(t, s, 8)) {
-		t.Error("two seeds gave the same schedule")
+		t.Error("seeds 7 and 8 have the same schedule")
 	}
 	const want = "62c6d4453ffb1cc0"
 	if got := fmt.Sprintf("%x", sha256.Sum256(one))[:16]; got != want {
@@ -125,7 +125,7 @@
 	}
 }
 
-// Sidecars get SIGTERM one after another.
+// A staggered fault happens to one sidecar after another.
 func TestPlan_oneAfterOther(t *testing.T) {
 	s, err := Parse("good.toml", []byte(validScenario+"[[fault]]\nat = \"3s\"\nevery = \"500ms\"\nkind = \"sidecar-term\"\nsidecars = \"3\"\n"))
 	if err != nil {
@@ -136,11 +136,11 @@
 		at = append(at, fmt.Sprintf("%v %d", f.At, len(f.Sidecars)))
 	}
 	if got := strings.Join(at, ", "); got != "3s 1, 3.5s 1, 4s 1" {
-		t.Error(got)
+		t.Errorf("SIGTERM at %s, want 3s, 3.5s and 4s to one sidecar each", got)
 	}
 }
 
-// SIGKILL waits for the longest deadline, at most 3 s.
+// SIGKILL comes after the longest deadline, at most 3 s, and ServiceAfterTerm.
 func TestScenario_killDelay(t *testing.T) {
 	for deadline, want := range map[string]string{"800ms": "1.5s", "4s": "3.7s"} {
 		t.Run(deadline, func(t *testing.T) {
@@ -155,7 +155,7 @@
 	}
 }
 
-// Whatever is drawn lies in the run and names parties that there are.
+// All drawn arrivals are within the run, and drawn indexes are valid.
 func TestPlan_drawnValues(t *testing.T) {
 	s, err := Parse("good.toml", []byte(validScenario+"\n[[fault]]\nat = \"1s\"\nkind = \"replace\"\nservers = \"50%\"\n"))
 	if err != nil {
@@ -166,22 +166,22 @@
 		last := p.Arrivals[0].At
 		for _, a := range p.Arrivals {
 			if a.At < last || a.At >= s.Length.Duration() || a.Work < 0 || a.Sidecar >= len(p.Sidecars) {
-				t.Fatalf("arrival %+v after %v", a, last)
+				t.Fatalf("invalid arrival %+v after one at %v", a, last)
 			}
 			last = a.At
 		}
 		for _, f := range p.Faults {
 			for _, i := range append(f.Servers, f.Replacements...) {
 				if i >= len(p.Servers) || p.Servers[i].Spare != (i >= s.Servers.Count) {
-					t.Fatalf("fault %+v", f)
+					t.Fatalf("fault %+v selects an unknown server, or a spare among the servers", f)
 				}
 			}
 		}
 	})
 }
 
-// Work of an exponential and noise from attempt to attempt keep their mean and spread, and a client attempt has the same
-// work at a server each time.
+// Exponential work and attempt noise have the configured mean and coefficient of variation. A client attempt has the
+// same work each time at the same server.
 func TestPlan_work(t *testing.T) {
 	s, err := Parse("work.toml", []byte(`title = "work"
 length = "100s"
@@ -211,14 +211,14 @@
 	}
 	p := s.Plan(3)
 	if mean, cv := spread(func(i int) float64 { return p.Arrivals[i].Work }); math.Abs(mean-80) > 2 || math.Abs(cv-1) > 0.03 {
-		t.Errorf("work of mean %.1f ms and cv %.2f", mean, cv)
+		t.Errorf("work has mean %.1f ms and cv %.2f, want 80 ms and 1", mean, cv)
 	}
 	c := &s.Classes[0]
 	if mean, cv := spread(func(i int) float64 { return c.AttemptWorkFactor(uint64(i), 3) }); math.Abs(mean-1) > 0.02 || math.Abs(cv-0.4) > 0.02 {
-		t.Errorf("attempts of mean %.2f and cv %.2f", mean, cv)
+		t.Errorf("attempt factors have mean %.2f and cv %.2f, want 1 and 0.4", mean, cv)
 	}
 	if c.AttemptWorkFactor(5, 3) != c.AttemptWorkFactor(5, 3) || c.AttemptWorkFactor(5, 3) == c.AttemptWorkFactor(5, 4) {
-		t.Error("one attempt differs from itself, or two are the same")
+		t.Error("factor of one attempt at one server is not constant, or equal at two servers")
 	}
 }
 
@@ -239,14 +239,14 @@
 [network]
 zones = ["a", "b"]
 `
-	for load, want := range map[string][2]float64{"0.3": {0, 0.05}, "1.8": {0.3, 0.6}} { // 1.8: each zone at nearly twice its capacity
+	for load, want := range map[string][2]float64{"0.3": {0, 0.05}, "1.8": {0.3, 0.6}} { // 1.8 loads each zone at nearly twice its capacity
 		t.Run(load, func(t *testing.T) {
 			s, err := Parse("two.toml", []byte(strings.Replace(two, "LOAD", load, 1)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if got := s.Plan(1).MinCrossZone(); !(got >= want[0] && got <= want[1]) {
-				t.Errorf("%v of the work has to leave its zone, want %v", got, want)
+				t.Errorf("minimum fraction of work across zones is %v, want within %v", got, want)
 			}
 		})
 	}
--- a/internal/lab/scenario/selector.go
+++ b/internal/lab/scenario/selector.go
@@ -1,6 +1,6 @@
 package scenario
 
-// This file reads selectors, by which faults and other tables name servers, sidecars and replicas.
+// This file validates and draws selectors, the texts that select servers, sidecars and replicas of the list service.
 
 import (
 	"fmt"
@@ -11,24 +11,24 @@
 	"strings"
 )
 
-// The selectors that are one word. The others are "3" (so many, drawn), "20%" (drawn), "#4" (that one), "zone:NAME" and
-// "region:N"; of servers also "pod:N", "kind:NAME" and "subset:NAME".
+// Selectors of one word. The others are "3" (a number of targets, drawn), "20%" (a percentage, drawn), "#4" (the target
+// of this number), "zone:NAME" and "region:N". Selectors of servers can also be "pod:N", "kind:NAME" and "subset:NAME".
 const (
 	selectAll      = "all"
-	selectLate     = "late" // the sidecars that start later
+	selectLate     = "late" // sidecars that start late
 	selectLeader   = "leader"
 	selectFollower = "follower"
 	selectMajority = "majority"
 )
 
-// isNumberSelector tells whether a selector is "#0" up to the last of count.
+// isNumberSelector reports whether a selector is "#0" to "#N" with N below count.
 func isNumberSelector(selector string, count int) bool {
 	digits, ok := strings.CutPrefix(selector, "#")
 	i, err := strconv.Atoi(digits)
 	return ok && err == nil && i >= 0 && i < count
 }
 
-// checkServers checks a selector of servers.
+// checkServers validates a selector of servers.
 func (s *Scenario) checkServers(selector string) error {
 	kind, name, _ := strings.Cut(selector, ":")
 	switch kind {
@@ -39,7 +39,7 @@
 		return nil
 	case "pod":
 		if p, err := strconv.Atoi(name); err != nil || !s.hasPod(p) {
-			return fmt.Errorf("there is no pod %q", name)
+			return fmt.Errorf("unknown pod %q", name)
 		}
 		return nil
 	case "kind":
@@ -51,18 +51,18 @@
 	return s.checkSelector(selector, s.Servers.Count)
 }
 
-// checkSidecars checks a selector of the first count sidecars.
+// checkSidecars validates a selector of the first count sidecars.
 func (s *Scenario) checkSidecars(selector string, count int) error {
 	if selector == selectLate {
 		if s.Members == nil || s.Members.LateCount == 0 || count < s.Sidecars.Count {
-			return fmt.Errorf("no sidecar is late")
+			return fmt.Errorf("no sidecar of the selection starts late")
 		}
 		return nil
 	}
 	return s.checkSelector(selector, count)
 }
 
-// checkSelector checks a selector that servers and sidecars have in common.
+// checkSelector validates a selector of a form that servers and sidecars share.
 func (s *Scenario) checkSelector(selector string, count int) error {
 	kind, name, _ := strings.Cut(selector, ":")
 	switch {
@@ -72,22 +72,22 @@
 		return s.checkZone(name)
 	case kind == "region":
 		if i, err := strconv.Atoi(name); err != nil || i < 0 || i >= len(s.Network.Regions) {
-			return fmt.Errorf("there is no region %q of %d", name, len(s.Network.Regions))
+			return fmt.Errorf("unknown region %q: the number of regions is %d", name, len(s.Network.Regions))
 		}
 		return nil
 	case strings.HasPrefix(selector, "#"):
 		if !isNumberSelector(selector, count) {
-			return fmt.Errorf("there is no %s: they are #0 to #%d", selector, count-1)
+			return fmt.Errorf("unknown number %s: must be #0 to #%d", selector, count-1)
 		}
 		return nil
 	case strings.HasSuffix(selector, "%"):
 		if p, err := strconv.ParseFloat(strings.TrimSuffix(selector, "%"), 64); err != nil || !(p > 0 && p <= 100) {
-			return fmt.Errorf("%q is no share", selector)
+			return fmt.Errorf("invalid percentage %q: must be over 0%% and at most 100%%", selector)
 		}
 		return nil
 	}
 	if i, err := strconv.Atoi(selector); err != nil || i < 1 || i > count {
-		return fmt.Errorf("%q is none of all, a number up to %d, #number, share%%, zone:name, pod:number, kind:name", selector, count)
+		return fmt.Errorf("invalid selector %q: must be all, a number up to %d, #number, percentage%%, zone:name, region:number, pod:number, kind:name or subset:name", selector, count)
 	}
 	return nil
 }
@@ -99,12 +99,12 @@
 	return nil
 }
 
-// checkReplicas checks a selector of the list service's replicas.
+// checkReplicas validates a selector of replicas of the list service.
 func (s *Scenario) checkReplicas(selector string) error {
 	words := []string{selectLeader, selectFollower, selectMajority, selectAll}
 	replicas := max(s.Registry.Replicas, s.Discovery.RegistryReplicas)
 	if !slices.Contains(words, selector) && !isNumberSelector(selector, replicas) {
-		return fmt.Errorf("%q is none of %s, #0 to #%d", selector, strings.Join(words, ", "), replicas-1)
+		return fmt.Errorf("invalid selector %q: must be one of %s, #0 to #%d", selector, strings.Join(words, ", "), replicas-1)
 	}
 	return nil
 }
@@ -115,7 +115,7 @@
 	return slices.ContainsFunc(s.Servers.Kinds, func(k ServerKind) bool { return k.Name == name })
 }
 
-// selectServers draws which servers a selector means; checkServers has checked it.
+// selectServers draws the servers of a selector that checkServers has validated.
 func (p *Plan) selectServers(r *rand.Rand, selector string) []int {
 	count := p.Scenario.Servers.Count
 	kind, name, _ := strings.Cut(selector, ":")
@@ -130,7 +130,7 @@
 	return p.selectTargets(r, selector, count, func(i int) int { return p.Servers[i].Zone })
 }
 
-// selectSidecars draws which of the first count sidecars a selector means; checkSidecars has checked it.
+// selectSidecars draws the sidecars of a selector, among the first count, that checkSidecars has validated.
 func (p *Plan) selectSidecars(r *rand.Rand, selector string, count int) []int {
 	if selector == selectLate {
 		return indexesWhere(count, p.Scenario.StartsLate)
@@ -138,7 +138,7 @@
 	return p.selectTargets(r, selector, count, func(i int) int { return p.Sidecars[i].Zone })
 }
 
-// selectTargets draws what a selector means that servers and sidecars have in common.
+// selectTargets draws the targets of a selector of a form that servers and sidecars share.
 func (p *Plan) selectTargets(r *rand.Rand, selector string, count int, zoneOf func(int) int) []int {
 	network := &p.Scenario.Network
 	kind, name, _ := strings.Cut(selector, ":")
@@ -158,7 +158,7 @@
 	return drawn
 }
 
-// drawnCount is how many of count a selector "3" or "20%" draws.
+// drawnCount returns the number of targets, out of count, that a selector "3" or "20%" draws.
 func drawnCount(selector string, count int) int {
 	if percent, ok := strings.CutSuffix(selector, "%"); ok {
 		f, _ := strconv.ParseFloat(percent, 64)
@@ -168,6 +168,7 @@
 	return n
 }
 
+// indexesWhere returns the indexes below count that match.
 func indexesWhere(count int, matches func(int) bool) []int {
 	var out []int
 	for i := range count {
--- a/lab/scenarios/embed.go
+++ b/lab/scenarios/embed.go
@@ -1,4 +1,4 @@
-// Package scenarios holds the scenarios that come with the program.
+// Package scenarios embeds the scenarios that are part of the program.
 package scenarios
 
 import (
@@ -14,10 +14,10 @@
 //go:embed *.toml defects/*.toml
 var files embed.FS
 
-// Names lists the scenarios; those with a planted defect stand last, under "defects/".
+// Names returns the names of the scenarios. Those with a planted defect begin with "defects/" and come last.
 func Names() []string {
 	var names []string
-	_ = fs.WalkDir(files, ".", func(path string, d fs.DirEntry, err error) error { // an embedded tree has no errors
+	_ = fs.WalkDir(files, ".", func(path string, d fs.DirEntry, err error) error { // reading an embedded tree does not fail
 		if err == nil && strings.HasSuffix(path, ".toml") {
 			names = append(names, strings.TrimSuffix(path, ".toml"))
 		}
@@ -32,11 +32,11 @@
 	return names
 }
 
-// Load reads a scenario by its name. One that is not there is an fs.ErrNotExist.
+// Load reads a scenario by name. The error of an unknown name is fs.ErrNotExist.
 func Load(name string) (*scenario.Scenario, error) {
 	text, err := files.ReadFile(name + ".toml")
 	if err != nil {
-		return nil, fmt.Errorf("scenario: %w", err)
+		return nil, fmt.Errorf("load scenario: %w", err)
 	}
 	return scenario.Parse(name+".toml", text)
 }
--- a/lab/scenarios/plans_test.go
+++ b/lab/scenarios/plans_test.go
@@ -15,17 +15,16 @@
 	"marblelane/lab/scenarios"
 )
 
-// wantPlansDigest is the SHA-256 of the plans of all scenarios for planSeeds. A change that only rearranges or renames
-// code leaves it as it is.
+// wantPlansDigest is the SHA-256 of the plans of all scenarios for planSeeds. A change that only moves or renames code
+// does not alter it.
 const wantPlansDigest = "9c199241dfa45190569f1b483882e7fdcae85fa1d7ac29b3075724d9d1699fc2"
 
 var planSeeds = []uint64{1, 901}
 
-// TestPlans_keepTheirDigest hashes each scenario as read with its defaults, everything drawn for it, its schedule and
-// the settings of its sidecars.
+// The digest covers each scenario with its defaults, its plan, its schedule and the settings of its sidecars.
 func TestPlans_keepTheirDigest(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("other architectures may fuse floating-point operations, which changes last digits")
+		t.Skip("other architectures can fuse floating-point operations, which changes the last digits")
 	}
 	all, fields := sha256.New(), map[reflect.Type][]canonicalField{}
 	for _, name := range scenarios.Names() {
@@ -55,12 +54,12 @@
 		all.Write(sum)
 	}
 	if got := hex.EncodeToString(all.Sum(nil)); got != wantPlansDigest {
-		t.Errorf("digest of all plans is %s, want %s: run with -v in two versions and compare the digests by scenario", got, wantPlansDigest)
+		t.Errorf("digest of all plans is %s, want %s: run both versions with -v and compare the digests of each scenario", got, wantPlansDigest)
 	}
 }
 
-// canonical encodes values without the names of Go types and fields: a field is named by its TOML key, or by its
-// position where it has none.
+// canonical encodes values without the names of Go types and fields. A field is identified by its TOML key, or by its
+// position if it has none.
 type canonical struct {
 	bytes  []byte
 	fields map[reflect.Type][]canonicalField
@@ -107,12 +106,12 @@
 	case reflect.Uint64:
 		c.bytes = strconv.AppendUint(c.bytes, v.Uint(), 10)
 	default:
-		panic(fmt.Sprintf("a plan holds a %v, which has no canonical form", v.Type()))
+		panic(fmt.Sprintf("plan contains a value of type %v, which has no canonical form", v.Type()))
 	}
 	c.bytes = append(c.bytes, ';')
 }
 
-// fieldsOf lists the fields of a struct, ordered by key.
+// fieldsOf returns the fields of a struct, ordered by key.
 func (c *canonical) fieldsOf(t reflect.Type) []canonicalField {
 	if fields, ok := c.fields[t]; ok {
 		return fields
