--- a/internal/lab/cluster/result.go
+++ b/internal/lab/cluster/result.go
@@ -17,7 +17,7 @@
 // result sums the run up, and checks the history of the writers and the lists that were read.
 func (c *Cluster) result(watchers []*watcher, timerLag []time.Duration) *report.Report {
 	out := &report.RegistryResult{Replicas: len(c.Replicas), Watchers: len(watchers), Reads: len(c.reads),
-		ReadsLost: c.failedReads, Lines: c.watchLines.Load(), Rejoins: c.rewatches.Load()}
+		FailedReads: c.failedReads, Lines: c.watchLines.Load(), RestartedWatches: c.rewatches.Load()}
 	c.countOperations(out)
 	if text := checkLinearizable(c.history); text != "" {
 		c.breach("linearizable", text)
@@ -26,7 +26,7 @@
 		c.breach("age-told", text)
 	}
 	c.sumTimes(out, watchers)
-	out.Parties = c.measureReplicas()
+	out.Processes = c.measureReplicas()
 	return &report.Report{Scenario: c.Scenario.Name, Title: c.Scenario.Title, Seed: c.Plan.Seed,
 		LengthS: c.Scenario.Length.Duration().Seconds(), Registry: out, Verdict: c.verdict(), Lateness: lateness(timerLag)}
 }
@@ -57,21 +57,21 @@
 func (c *Cluster) sumTimes(out *report.RegistryResult, watchers []*watcher) {
 	for _, read := range c.reads {
 		if read.age < maxKnownAge {
-			out.OldestMS = max(out.OldestMS, milliseconds(read.age))
+			out.MaxListAgeMS = max(out.MaxListAgeMS, milliseconds(read.age))
 		}
 	}
 	for _, d := range c.restartDelays {
-		out.Returns = append(out.Returns, milliseconds(d))
+		out.RestartTimes = append(out.RestartTimes, milliseconds(d))
 	}
 	for _, d := range c.diskRecoveries {
-		out.Heals = append(out.Heals, milliseconds(d))
+		out.DiskRecoveryTimes = append(out.DiskRecoveryTimes, milliseconds(d))
 	}
 	propagation := propagationTimes(c.acknowledged, watchers)
-	out.TellP50, out.TellP99 = percentile(propagation, 0.5), percentile(propagation, 0.99)
-	out.TellMax = percentile(propagation, 1)
+	out.NotifyP50, out.NotifyP99 = percentile(propagation, 0.5), percentile(propagation, 0.99)
+	out.NotifyMax = percentile(propagation, 1)
 	for _, start := range c.faultStarts {
 		if first, ok := c.firstWriteSince(start); ok {
-			out.Gaps = append(out.Gaps, milliseconds(first-start))
+			out.WriteGaps = append(out.WriteGaps, milliseconds(first-start))
 		}
 	}
 }
@@ -120,7 +120,7 @@
 func lateness(timerLag []time.Duration) (l report.Lateness) {
 	slices.Sort(timerLag)
 	l.LagMS = percentile(timerLag, 0.99)
-	l.TooBig = l.LagMS > milliseconds(report.MaxLatenessP99)
+	l.ExceedsLimit = l.LagMS > milliseconds(report.MaxLatenessP99)
 	return l
 }
 
--- a/internal/lab/invariant/clients.go
+++ b/internal/lab/invariant/clients.go
@@ -13,16 +13,16 @@
 // clientGoneGrace is how long after its client has left a request may still be sent to a server.
 const clientGoneGrace = 100 * time.Millisecond
 
-// HeldBack is a time in which links delay their data: what a server receives then may have left the sidecar long before.
-type HeldBack struct {
+// DelayedLink is a time in which links delay their data: what a server receives then may have left the sidecar long before.
+type DelayedLink struct {
 	From, To time.Duration
 	Sidecars []int
 	Servers  []int
 }
 
-// mayBeHeldBack reports whether what a server received at this time may have been delayed by its link.
-func (c *checker) mayBeHeldBack(e record.Event) bool {
-	return slices.ContainsFunc(c.facts.HeldBack, func(h HeldBack) bool {
+// mayBeDelayed reports whether what a server received at this time may have been delayed by its link.
+func (c *checker) mayBeDelayed(e record.Event) bool {
+	return slices.ContainsFunc(c.facts.DelayedLinks, func(h DelayedLink) bool {
 		return e.T >= h.From && e.T <= h.To+socketSlack &&
 			slices.Contains(h.Sidecars, int(e.Sidecar)) && slices.Contains(h.Servers, int(e.Server))
 	})
@@ -35,7 +35,7 @@
 		switch {
 		case e.Kind == record.ClientLeft:
 			leftAt = min(leftAt, e.T)
-			c.out.Checked[ClientGone]++
+			c.verdict.Checked[ClientGone]++
 		case e.Kind == record.NoAnswer && e.Note != record.RunEnded:
 			leftAt = min(leftAt, e.T)
 		case e.Kind == record.FirstByte:
@@ -59,7 +59,7 @@
 
 // checkAttemptAfterLeave checks an attempt of a request whose client left at this time.
 func (c *checker) checkAttemptAfterLeave(r *requestEvents, attempt record.Event, leftAt time.Duration) {
-	if leftAt >= attempt.T || c.mayBeHeldBack(attempt) || c.longStallBetween(leftAt, attempt.T) {
+	if leftAt >= attempt.T || c.mayBeDelayed(attempt) || c.longStallBetween(leftAt, attempt.T) {
 		return
 	}
 	if noticed := c.observableAt(attempt.Sidecar, leftAt, attempt.T); attempt.T > noticed+clientGoneGrace+socketSlack+c.facts.Latency+c.stallTime(noticed, attempt.T) {
@@ -100,10 +100,10 @@
 
 // checkAttemptDeadline checks the deadline that an attempt forwards against the time that its client still waits.
 func (c *checker) checkAttemptDeadline(r *requestEvents, attempt, sent record.Event) {
-	if attempt.N == 0 || sent.Work == 0 || c.mayBeHeldBack(attempt) || c.longStallBetween(sent.T, attempt.T) {
+	if attempt.N == 0 || sent.Work == 0 || c.mayBeDelayed(attempt) || c.longStallBetween(sent.T, attempt.T) {
 		return
 	}
-	c.out.Checked[ForwardedDeadline]++
+	c.verdict.Checked[ForwardedDeadline]++
 	timeout := time.Duration(sent.Work * float64(time.Millisecond))
 	remaining := c.observableAt(attempt.Sidecar, sent.T, attempt.T) + timeout - attempt.T
 	excess := time.Duration(attempt.N)*time.Millisecond - remaining
--- a/internal/lab/invariant/clients_test.go
+++ b/internal/lab/invariant/clients_test.go
@@ -14,12 +14,12 @@
 		return record.Event{T: millis(at), Kind: kind, Request: 7, Server: record.None, Note: note}
 	}
 	frozen := []record.Event{process(400, Frozen), process(1500, Thawed)}
-	held := []HeldBack{{From: millis(300), To: millis(900), Sidecars: []int{0}, Servers: []int{3}}}
+	held := []DelayedLink{{From: millis(300), To: millis(900), Sidecars: []int{0}, Servers: []int{3}}}
 	for name, c := range map[string]struct {
 		left   record.Event
 		more   []record.Event
 		send   int
-		held   []HeldBack
+		held   []DelayedLink
 		broken bool
 	}{
 		"before":                {client(500, record.ClientLeft, ""), nil, 400, nil, false},
@@ -32,11 +32,11 @@
 		"long after it woke":    {client(500, record.ClientLeft, ""), frozen, 1700, nil, true},
 		"held back":             {client(500, record.ClientLeft, ""), nil, 900, held, false},
 		"after what held back":  {client(500, record.ClientLeft, ""), nil, 1000, held, true},
-		"on another link":       {client(500, record.ClientLeft, ""), nil, 900, []HeldBack{{To: time.Second, Sidecars: []int{0}, Servers: []int{4}}}, true},
+		"on another link":       {client(500, record.ClientLeft, ""), nil, 900, []DelayedLink{{To: time.Second, Sidecars: []int{0}, Servers: []int{4}}}, true},
 	} {
 		events := append([]record.Event{process(0, Started), process(1, Serving), client(100, record.Sent, ""), c.left, send(c.send)}, c.more...)
 		slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.T - b.T) })
-		got := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, HeldBack: c.held}).Broken()
+		got := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, DelayedLinks: c.held}).Broken()
 		if slices.Contains(got, ClientGone) != c.broken {
 			t.Errorf("%s: broken are %v", name, got)
 		}
--- a/internal/lab/invariant/cold.go
+++ b/internal/lab/invariant/cold.go
@@ -25,8 +25,8 @@
 
 // maxCalls is how many calls a server may get in a window that ends at this age of the server.
 func (f *SlowStart) maxCalls(server int32, age time.Duration) float64 {
-	warmth := f.InitialCapacity + (1-f.InitialCapacity)*float64(age)/float64(f.Time)
-	n := f.OverloadMultiple * f.CapacityPerSecond[server] * warmth * f.Window.Seconds()
+	capacityFraction := f.InitialCapacity + (1-f.InitialCapacity)*float64(age)/float64(f.Time)
+	n := f.OverloadMultiple * f.CapacityPerSecond[server] * capacityFraction * f.Window.Seconds()
 	if n < smallSample {
 		return n + 3*math.Sqrt(n) + 3
 	}
@@ -49,7 +49,7 @@
 		case e.Kind == record.OverloadCrash:
 			c.breach(SlowStartLimit, e.T, e.Request, c.byID[e.Request], "server %d was pushed over: %s", e.Server, e.Note)
 		case e.Kind == record.ServerState && e.Note == ServerStarted:
-			c.out.Checked[SlowStartLimit]++
+			c.verdict.Checked[SlowStartLimit]++
 		}
 	}
 	c.checkSlowStartCalls()
--- a/internal/lab/invariant/invariant.go
+++ b/internal/lab/invariant/invariant.go
@@ -49,10 +49,10 @@
 	ServiceAfterTerm time.Duration
 	Routes           *Routes // nil: there are none
 	// Latency is the longest time one way between a sidecar and a server.
-	Latency   time.Duration
-	HeldBack  []HeldBack // by links that delay what is sent
-	Stalls    []Span     // times in which the machine gave the lab, and so its processes, no processor time
-	SlowStart SlowStart
+	Latency      time.Duration
+	DelayedLinks []DelayedLink // by links that delay what is sent
+	Stalls       []Span        // times in which the machine gave the lab, and so its processes, no processor time
+	SlowStart    SlowStart
 	// ReadyWithin is how long a restarted process may take to be ready; 0: any time.
 	ReadyWithin time.Duration
 }
@@ -93,10 +93,10 @@
 
 // checker checks the records against all rules.
 type checker struct {
-	facts  Facts
-	events []record.Event
-	byID   map[uint64][]int
-	out    *Verdict
+	facts   Facts
+	events  []record.Event
+	byID    map[uint64][]int
+	verdict *Verdict
 
 	unavailable map[int32][]span        // times in which a sidecar does not run
 	frozen      map[int32][]span        // times in which a sidecar is frozen
@@ -115,7 +115,7 @@
 	c := &checker{
 		facts: facts, events: events, byID: map[uint64][]int{}, unavailable: map[int32][]span{}, frozen: map[int32][]span{},
 		termAt: map[int32]time.Duration{}, ends: map[int32][]processEnd{},
-		out: &Verdict{Counts: map[string]int{}, Checked: map[string]int{}},
+		verdict: &Verdict{Counts: map[string]int{}, Checked: map[string]int{}},
 	}
 	for i := range events {
 		if id := events[i].Request; id != 0 {
@@ -140,7 +140,7 @@
 		}
 	}
 	c.checkRoutes()
-	return c.out
+	return c.verdict
 }
 
 // Notes of Process events, which the lab writes.
@@ -192,8 +192,8 @@
 }
 
 func (c *checker) breach(rule string, at time.Duration, id uint64, path []int, format string, args ...any) {
-	c.out.Counts[rule]++
-	if c.out.Counts[rule] > maxPrintedBreaches {
+	c.verdict.Counts[rule]++
+	if c.verdict.Counts[rule] > maxPrintedBreaches {
 		return
 	}
 	b := Breach{Rule: rule, At: at.Seconds(), Text: fmt.Sprintf(format, args...)}
@@ -203,7 +203,7 @@
 	for _, i := range path {
 		b.Path = append(b.Path, c.events[i].String())
 	}
-	c.out.Breaches = append(c.out.Breaches, b)
+	c.verdict.Breaches = append(c.verdict.Breaches, b)
 }
 
 // attempt is one send of a request to a server, from the server's records.
@@ -218,10 +218,10 @@
 	id             uint64
 	path           []int          // indices of its events
 	events         []record.Event // by time
-	sent           []record.Event // by its client
-	answers        int
+	sends          []record.Event // by its client
+	responses      int
 	attempts       []attempt
-	runs           int           // on servers
+	executions     int           // on servers
 	connectionLost bool          // of its client
 	noAnswer       bool          // in its time, before the end of the run
 	extraBytes     bool          // after an answer
@@ -232,7 +232,7 @@
 // checkRequest checks the events of one request against all invariants of requests.
 func (c *checker) checkRequest(r *requestEvents) {
 	for i := range all {
-		if check := all[i].checkRequest; check != nil && (len(r.sent) > 0 || all[i].unsent) {
+		if check := all[i].checkRequest; check != nil && (len(r.sends) > 0 || all[i].unsent) {
 			check(c, r)
 		}
 	}
@@ -247,9 +247,9 @@
 		r.lastAt = e.T
 		switch e.Kind {
 		case record.Sent:
-			r.sent = append(r.sent, e)
+			r.sends = append(r.sends, e)
 		case record.Answered:
-			r.answers++
+			r.responses++
 		case record.ConnectionLost:
 			r.connectionLost, r.unansweredAt = true, e.T
 		case record.NoAnswer:
@@ -257,7 +257,7 @@
 		case record.ExtraBytes:
 			r.extraBytes = true
 		case record.WorkStarted:
-			r.runs++
+			r.executions++
 		case record.LastByte:
 			r.attempts = append(r.attempts, attempt{server: int(e.Server), connection: int(e.Attempt), from: e.T, to: forever})
 		case record.Rejected, record.Replied, record.SidecarClosed:
@@ -289,8 +289,8 @@
 
 // checkUnknownRequest checks that a client sent in this form what servers got under the ID of a request.
 func (c *checker) checkUnknownRequest(r *requestEvents) {
-	if len(r.sent) > 0 && len(r.attempts) > 0 {
-		c.out.Checked[NoUnknownRequest]++
+	if len(r.sends) > 0 && len(r.attempts) > 0 {
+		c.verdict.Checked[NoUnknownRequest]++
 	}
 	for _, e := range r.events {
 		if e.Kind == record.UnknownRequest {
@@ -314,7 +314,7 @@
 		if e.Kind != record.Answered || e.Status != http.StatusOK {
 			continue
 		}
-		c.out.Checked[Body]++
+		c.verdict.Checked[Body]++
 		if e.Sum != e.Want {
 			c.breachOf(r, Body, e.T, "the client got body %016x, the one made for it is %016x", e.Sum, e.Want)
 		}
@@ -323,13 +323,13 @@
 
 // checkOneAnswer checks that a client got one final answer.
 func (c *checker) checkOneAnswer(r *requestEvents) {
-	c.out.Checked[OneAnswer]++
-	from := r.sent[0].T
-	owner := r.sent[0].Sidecar
+	c.verdict.Checked[OneAnswer]++
+	from := r.sends[0].T
+	owner := r.sends[0].Sidecar
 	switch {
-	case r.answers > 1 || r.extraBytes:
+	case r.responses > 1 || r.extraBytes:
 		c.breachOf(r, OneAnswer, r.lastAt, "it was answered more than once")
-	case r.answers == 1 || !r.connectionLost && !r.noAnswer:
+	case r.responses == 1 || !r.connectionLost && !r.noAnswer:
 	case c.checkProcessEnd(r):
 	case anyMeets(c.unavailable[owner], from, r.lastAt) || anyMeets(c.frozen[owner], from, r.lastAt):
 		// What a killed sidecar had accepted is lost with it; a frozen one cannot answer.
@@ -346,7 +346,7 @@
 // whether the request was such a one. A process that ends by itself has to answer all that it accepted, read or not. What
 // SIGKILL interrupts is a breach if it arrived after ServiceAfterTerm; the answer to an earlier one was not due yet.
 func (c *checker) checkProcessEnd(r *requestEvents) bool {
-	sent, lost := r.sent[len(r.sent)-1], r.unansweredAt
+	sent, lost := r.sends[len(r.sends)-1], r.unansweredAt
 	for _, e := range c.ends[sent.Sidecar] {
 		if sent.T > e.endedAt || lost < e.endedAt-connectionEndSlack || lost > e.endedAt+noAnswerNoticedWithin {
 			continue
@@ -366,7 +366,7 @@
 
 // checkAttemptLimit checks the number of attempts at servers.
 func (c *checker) checkAttemptLimit(r *requestEvents) {
-	c.out.Checked[AttemptLimit]++
+	c.verdict.Checked[AttemptLimit]++
 	if n := len(r.attempts); n > c.facts.MaxAttempts {
 		c.breachOf(r, AttemptLimit, r.attempts[n-1].from, "%d attempts, of %d", n, c.facts.MaxAttempts)
 	}
@@ -374,19 +374,19 @@
 
 // checkNonIdempotentOnce checks that a non-idempotent request ran at most once, and was not sent again where it may have.
 func (c *checker) checkNonIdempotentOnce(r *requestEvents) {
-	class := r.sent[len(r.sent)-1].Class
+	class := r.sends[len(r.sends)-1].Class
 	if !c.facts.NonIdempotent[class] || len(r.attempts) == 0 {
 		return
 	}
-	c.out.Checked[NonIdempotentOnce]++
+	c.verdict.Checked[NonIdempotentOnce]++
 	mayHaveRun := 0
 	for _, a := range r.attempts {
 		if !a.rejected {
 			mayHaveRun++
 		}
 	}
-	if r.runs > 1 {
-		c.breachOf(r, NonIdempotentOnce, r.attempts[0].from, "it ran %d times", r.runs)
+	if r.executions > 1 {
+		c.breachOf(r, NonIdempotentOnce, r.attempts[0].from, "it ran %d times", r.executions)
 	} else if mayHaveRun > 1 {
 		c.breachOf(r, NonIdempotentOnce, r.attempts[0].from, "it was sent again although it may have run")
 	}
@@ -397,7 +397,7 @@
 	if len(r.attempts) < 2 {
 		return
 	}
-	c.out.Checked[OneAtATime]++
+	c.verdict.Checked[OneAtATime]++
 	for k := 1; k < len(r.attempts); k++ {
 		before, next := r.attempts[k-1], r.attempts[k]
 		if before.to > next.from+socketSlack {
@@ -427,7 +427,7 @@
 				delete(notifiedAt, key)
 			case !notified:
 				notifiedAt[key] = e.T
-				c.out.Checked[Drain]++
+				c.verdict.Checked[Drain]++
 			}
 		case record.Process:
 			switch e.Note {
@@ -484,7 +484,7 @@
 
 // checkSample checks one sample of a sidecar's memory and descriptors.
 func (c *checker) checkSample(e *record.Event) {
-	c.out.Checked[ResourceLimits]++
+	c.verdict.Checked[ResourceLimits]++
 	if c.facts.MemoryMB > 0 && e.N > int64(c.facts.MemoryMB)<<20 {
 		c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d has %.1f MB of %d", e.Sidecar, float64(e.N)/(1<<20), c.facts.MemoryMB)
 	}
--- a/internal/lab/invariant/members.go
+++ b/internal/lab/invariant/members.go
@@ -80,7 +80,7 @@
 
 // CheckMembers checks the events of a run, ordered by time, against the rules of membership, and adds its findings to a verdict.
 func CheckMembers(events []record.Event, facts *Members, v *Verdict) {
-	m := newMembers(&checker{events: events, out: v}, facts)
+	m := newMembers(&checker{events: events, verdict: v}, facts)
 	for i := range all {
 		if check := all[i].checkMembers; check != nil {
 			check(m)
@@ -96,7 +96,7 @@
 
 func newMembers(c *checker, facts *Members) *members {
 	m := &members{checker: c, facts: facts, all: map[uint64]*member{}}
-	of := func(e *record.Event) *member {
+	memberOf := func(e *record.Event) *member {
 		if m.all[e.Sum] == nil {
 			m.all[e.Sum] = &member{party: e.Sidecar, servesFrom: e.T, termAt: forever, endedAt: forever}
 		}
@@ -105,11 +105,11 @@
 	for i := range c.events {
 		switch e := &c.events[i]; e.Kind {
 		case record.MembershipStatus:
-			p := of(e)
+			p := memberOf(e)
 			p.reports = append(p.reports, statusReport{requestedAt: e.T - time.Duration(e.Want), receivedAt: e.T, start: e.N,
 				quota: m.quotaOf(e), forced: e.Class == 1, left: e.Note == MemberLeft})
 		case record.MemberProcess:
-			switch p := of(e); e.Note {
+			switch p := memberOf(e); e.Note {
 			case MemberLeaves:
 				p.termAt = e.T
 			case MemberEnded:
@@ -159,50 +159,50 @@
 type QuotaMoment struct {
 	At           time.Duration
 	Sum, Allowed float64
-	Parts        int // processes that take a quota
+	Processes    int // processes that take a quota
 }
 
 // QuotaMoments follows the sum of the quotas through a run.
 func QuotaMoments(events []record.Event, facts *Members) []QuotaMoment {
-	return newMembers(&checker{events: events}, facts).moments()
+	return newMembers(&checker{events: events}, facts).quotaMoments()
 }
 
-func (m *members) moments() []QuotaMoment {
+func (m *members) quotaMoments() []QuotaMoment {
 	type change struct {
 		at     time.Duration
 		begins bool
 		*quotaInterval
 	}
-	pieces := m.quotaIntervals()
+	intervals := m.quotaIntervals()
 	var changes []change
-	for i := range pieces {
-		if p := &pieces[i]; p.to > p.from {
+	for i := range intervals {
+		if p := &intervals[i]; p.to > p.from {
 			changes = append(changes, change{p.from, true, p}, change{p.to, false, p})
 		}
 	}
 	slices.SortFunc(changes, func(a, b change) int { return cmp.Compare(a.at, b.at) })
-	now := map[int32]map[uint64]*quotaInterval{}
+	active := map[int32]map[uint64]*quotaInterval{}
 	var out []QuotaMoment
 	for i, c := range changes {
 		switch {
-		case now[c.party] == nil:
-			now[c.party] = map[uint64]*quotaInterval{c.serial: c.quotaInterval}
+		case active[c.party] == nil:
+			active[c.party] = map[uint64]*quotaInterval{c.serial: c.quotaInterval}
 		case c.begins:
-			now[c.party][c.serial] = c.quotaInterval
-		case now[c.party][c.serial] == c.quotaInterval:
-			delete(now[c.party], c.serial)
+			active[c.party][c.serial] = c.quotaInterval
+		case active[c.party][c.serial] == c.quotaInterval:
+			delete(active[c.party], c.serial)
 		}
 		if i+1 < len(changes) && changes[i+1].at == c.at {
 			continue
 		}
-		out = append(out, m.momentAt(c.at, now))
+		out = append(out, m.quotaMomentAt(c.at, active))
 	}
 	return out
 }
 
-// momentAt adds the quotas up. Two processes of one sidecar, in an upgrade, share its quota.
-func (m *members) momentAt(at time.Duration, now map[int32]map[uint64]*quotaInterval) QuotaMoment {
-	moment := QuotaMoment{At: at, Sum: float64(m.facts.WithoutMembership) / float64(m.facts.Peers), Allowed: 1, Parts: m.facts.WithoutMembership}
+// quotaMomentAt adds the quotas up. Two processes of one sidecar, in an upgrade, share its quota.
+func (m *members) quotaMomentAt(at time.Duration, now map[int32]map[uint64]*quotaInterval) QuotaMoment {
+	moment := QuotaMoment{At: at, Sum: float64(m.facts.WithoutMembership) / float64(m.facts.Peers), Allowed: 1, Processes: m.facts.WithoutMembership}
 	var forced []float64
 	for _, party := range now {
 		sum, anyForced := 0.0, false
@@ -213,7 +213,7 @@
 		if sum > 0 {
 			quota := sum / float64(len(party))
 			moment.Sum += quota
-			moment.Parts++
+			moment.Processes++
 			if anyForced {
 				forced = append(forced, quota)
 			}
@@ -222,27 +222,27 @@
 	// What the others take is at most 1. A process that was admitted by timeout counts the processes of the settings if it
 	// has observed none, or those that it has observed.
 	for _, quota := range forced {
-		moment.Allowed += min(quota, max(1/float64(m.facts.Peers), 1/float64(moment.Parts)))
+		moment.Allowed += min(quota, max(1/float64(m.facts.Peers), 1/float64(moment.Processes)))
 	}
 	return moment
 }
 
-func (m *members) excluded(at time.Duration) bool {
+func (m *members) duringFalseRefusal(at time.Duration) bool {
 	return slices.ContainsFunc(m.facts.FalseRefusals, func(s Span) bool { return s.From <= at && at <= s.To })
 }
 
 // checkQuotaSum checks the sum against what the fleet may take.
 func (m *members) checkQuotaSum() {
 	over := false
-	for _, moment := range m.moments() {
-		if moment.Parts < 2 || m.excluded(moment.At) {
+	for _, moment := range m.quotaMoments() {
+		if moment.Processes < 2 || m.duringFalseRefusal(moment.At) {
 			continue
 		}
-		m.out.Checked[QuotaSum]++
+		m.verdict.Checked[QuotaSum]++
 		wasOver := over
 		if over = moment.Sum > moment.Allowed+quotaTolerance; over && !wasOver {
 			m.breach(QuotaSum, moment.At, 0, nil, "%d processes take %.3f of what the fleet allows together, at most %.3f may be",
-				moment.Parts, moment.Sum, moment.Allowed)
+				moment.Processes, moment.Sum, moment.Allowed)
 		}
 	}
 }
@@ -283,8 +283,8 @@
 	start int64
 }
 
-// lastSeenAlive gives the last moment at which each process is known to be alive, and its SIGTERM.
-func (m *members) lastSeenAlive() map[memberID]statusReport {
+// lastAliveReports gives the last moment at which each process is known to be alive, and its SIGTERM.
+func (m *members) lastAliveReports() map[memberID]statusReport {
 	out := map[memberID]statusReport{}
 	for _, p := range m.all {
 		for _, s := range p.reports {
@@ -306,16 +306,16 @@
 
 // checkNotGone looks for processes that were reported as proved gone and were alive.
 func (m *members) checkNotGone() {
-	lastAlive := m.lastSeenAlive()
+	lastAlive := m.lastAliveReports()
 	for i := range m.events {
 		e := &m.events[i]
 		switch e.Kind {
 		case record.MembershipStatus:
-			m.out.Checked[NotGone] += int(e.Server)
+			m.verdict.Checked[NotGone] += int(e.Server)
 		case record.MemberStatus:
 			state, name, proof := ParseMemberNote(e.Note)
 			alive, known := lastAlive[memberID{name, e.N}]
-			if state != Gone || !known || alive.requestedAt < e.T || e.T >= alive.receivedAt || m.excluded(e.T) {
+			if state != Gone || !known || alive.requestedAt < e.T || e.T >= alive.receivedAt || m.duringFalseRefusal(e.T) {
 				continue
 			}
 			m.breach(NotGone, e.T, 0, []int{i}, "%s says that %s, started at %d, is proved gone (%s), and it lives %.1f s later",
--- a/internal/lab/invariant/routes.go
+++ b/internal/lab/invariant/routes.go
@@ -20,8 +20,8 @@
 
 // Routes is what the attempts of a run with rollouts are checked against.
 type Routes struct {
-	Rollouts []Rollout // by their number in the plan
-	Answers  []Answer  // of the audit
+	Rollouts     []Rollout     // by their number in the plan
+	AuditResults []AuditResult // of the audit
 	// Latency is the most that a link adds, one way.
 	Latency time.Duration
 	// LinkFaults are times in which links or servers have faults: what was sent may arrive late, or never.
@@ -51,8 +51,8 @@
 // Span is a time in which something held.
 type Span struct{ From, To time.Duration }
 
-// Answer is the audit's answer for one process: whether it acted on a revision between two times.
-type Answer struct {
+// AuditResult is the audit's answer for one process: whether it acted on a revision between two times.
+type AuditResult struct {
 	Rev       int64
 	From, To  time.Duration
 	QueriedAt time.Duration
@@ -136,14 +136,14 @@
 
 // checkClosed checks each attempt against the revisions that were reported as closed before it arrived.
 func (r *routes) checkClosed() {
-	type said struct {
+	type closedReport struct {
 		rev int64
 		at  time.Duration
 	}
-	var all []said
+	var closedReports []closedReport
 	for i := range r.events {
-		if e := &r.events[i]; e.Kind == record.RevisionClosed && (len(all) == 0 || e.Rev > all[len(all)-1].rev) {
-			all = append(all, said{e.Rev, e.T})
+		if e := &r.events[i]; e.Kind == record.RevisionClosed && (len(closedReports) == 0 || e.Rev > closedReports[len(closedReports)-1].rev) {
+			closedReports = append(closedReports, closedReport{e.Rev, e.T})
 		}
 	}
 	for _, i := range r.attempts {
@@ -151,21 +151,21 @@
 		if e.Rev == 0 {
 			continue // without a lease, under the bases alone: see checkRouteFree
 		}
-		k, _ := slices.BinarySearchFunc(all, e.Rev, func(s said, rev int64) int { return cmp.Compare(s.rev, rev) })
-		if k == len(all) {
+		k, _ := slices.BinarySearchFunc(closedReports, e.Rev, func(s closedReport, rev int64) int { return cmp.Compare(s.rev, rev) })
+		if k == len(closedReports) {
 			continue
 		}
-		r.out.Checked[RevClosed]++
-		if limit := all[k].at + r.maxDelay(); e.T > limit && !r.faultBetween(limit, e.T) {
+		r.verdict.Checked[RevClosed]++
+		if limit := closedReports[k].at + r.maxDelay(); e.T > limit && !r.faultBetween(limit, e.T) {
 			r.breach(RevClosed, e.T, e.Request, r.byID[e.Request],
 				"sidecar %d sent to server %d under routes %d, %.0f ms after the list service had said that %d is closed",
-				e.Sidecar, e.Server, e.Rev, ms(e.T-all[k].at), all[k].rev)
+				e.Sidecar, e.Server, e.Rev, ms(e.T-closedReports[k].at), closedReports[k].rev)
 		}
 	}
 }
 
-// rollout finds whose canary an attempt was to: the last rollout of its tenant that can have had this revision.
-func (r *routes) rollout(e *record.Event) int {
+// rolloutOf finds whose canary an attempt was to: the last rolloutOf of its tenant that can have had this revision.
+func (r *routes) rolloutOf(e *record.Event) int {
 	best := -1
 	for n := range r.facts.Rollouts {
 		o := &r.facts.Rollouts[n]
@@ -221,7 +221,7 @@
 			continue
 		}
 		first := &r.events[a.first]
-		n := r.rollout(first)
+		n := r.rolloutOf(first)
 		if n < 0 {
 			continue
 		}
@@ -262,12 +262,12 @@
 func (r *routes) checkBudget() {
 	failed, ended := r.failures()
 	for n, all := range failed {
-		r.out.Failures = append(r.out.Failures, len(all))
+		r.verdict.Failures = append(r.verdict.Failures, len(all))
 		o := &r.facts.Rollouts[n]
 		if o.Budget == 0 {
 			continue
 		}
-		r.out.Checked[Budget] += ended[n]
+		r.verdict.Checked[Budget] += ended[n]
 		if int64(len(all)) > o.Budget {
 			first := &r.events[all[o.Budget]]
 			r.breach(Budget, first.T, first.Request, r.byID[first.Request],
@@ -288,7 +288,7 @@
 			}
 			// A lagging replica reports an earlier state; a later revision is a breach.
 			if r.rolledBack[n] && e.T >= r.endedAt[n] {
-				r.out.Checked[RollbackFinal]++
+				r.verdict.Checked[RollbackFinal]++
 				if e.Rev >= r.endRevision[n] && e.Note != "rolled-back" {
 					r.breach(RollbackFinal, e.T, 0, nil, "rollout %s is said to be %s at revision %d, it was rolled back at %d",
 						r.facts.Rollouts[n].Name, e.Note, e.Rev, r.endRevision[n])
@@ -296,7 +296,7 @@
 			}
 		case record.RolloutFraction:
 			if r.rolledBack[n] && e.Rev >= r.endRevision[n] {
-				r.out.Checked[RollbackFinal]++
+				r.verdict.Checked[RollbackFinal]++
 				if e.Work > 0 {
 					r.breach(RollbackFinal, e.T, 0, nil, "rollout %s has a share of %g at revision %d, it was rolled back at %d",
 						r.facts.Rollouts[n].Name, e.Work, e.Rev, r.endRevision[n])
@@ -306,7 +306,7 @@
 	}
 	for n, o := range r.facts.Rollouts {
 		if r.rolledBack[n] && o.Final != "" {
-			r.out.Checked[RollbackFinal]++
+			r.verdict.Checked[RollbackFinal]++
 			if o.Final != "rolled-back" {
 				r.breach(RollbackFinal, r.endedAt[n], 0, nil, "rollout %s was rolled back at revision %d, and is %s in the end", o.Name, r.endRevision[n], o.Final)
 			}
@@ -321,45 +321,45 @@
 		if !e.Canary {
 			continue
 		}
-		r.out.Checked[RouteFree]++
-		n := r.rollout(e)
-		wrong := func(rule, format string, args ...any) {
+		r.verdict.Checked[RouteFree]++
+		n := r.rolloutOf(e)
+		breachAttempt := func(rule, format string, args ...any) {
 			r.breach(rule, e.T, e.Request, r.byID[e.Request], format, args...)
 		}
 		if n < 0 {
-			wrong(RouteFree, "an attempt to a canary under routes %d, though its tenant, number %d, had no rollout by then", e.Rev, e.Tenant)
+			breachAttempt(RouteFree, "an attempt to a canary under routes %d, though its tenant, number %d, had no rollout by then", e.Rev, e.Tenant)
 			continue
 		}
 		o := &r.facts.Rollouts[n]
 		end, over := r.endRevision[n]
 		switch {
 		case over && e.Rev >= end && r.rolledBack[n]:
-			wrong(RollbackFinal, "an attempt to the canary of rollout %s under routes %d; it was rolled back at %d", o.Name, e.Rev, end)
+			breachAttempt(RollbackFinal, "an attempt to the canary of rollout %s under routes %d; it was rolled back at %d", o.Name, e.Rev, end)
 		case over && e.Rev >= end:
-			wrong(RouteFree, "an attempt to the canary of rollout %s under routes %d; it was over at %d", o.Name, e.Rev, end)
+			breachAttempt(RouteFree, "an attempt to the canary of rollout %s under routes %d; it was over at %d", o.Name, e.Rev, end)
 		case e.Class >= 0 && !o.Classes[e.Class]:
-			wrong(RouteFree, "an attempt to the canary of rollout %s of a class that it leaves out", o.Name)
+			breachAttempt(RouteFree, "an attempt to the canary of rollout %s of a class that it leaves out", o.Name)
 		case !o.Servers[e.Server]:
-			wrong(RouteFree, "an attempt to the canary of rollout %s at server %d, which is not in it", o.Name, e.Server)
+			breachAttempt(RouteFree, "an attempt to the canary of rollout %s at server %d, which is not in it", o.Name, e.Server)
 		}
 	}
 }
 
 // checkAudit checks each answer of the audit against what servers received.
 func (r *routes) checkAudit() {
-	type under struct {
+	type sidecarRevision struct {
 		sidecar int32
 		rev     int64
 	}
-	seen := map[under][]time.Duration{} // by time
+	attemptTimes := map[sidecarRevision][]time.Duration{} // by time
 	for _, i := range r.attempts {
 		e := &r.events[i]
 		if e.Rev > 0 {
-			k := under{e.Sidecar, e.Rev}
-			seen[k] = append(seen[k], e.T)
+			k := sidecarRevision{e.Sidecar, e.Rev}
+			attemptTimes[k] = append(attemptTimes[k], e.T)
 		}
 	}
-	for _, a := range r.facts.Answers {
+	for _, a := range r.facts.AuditResults {
 		sidecar := int32(slices.Index(r.facts.Names, a.Name))
 		at := time.Duration(a.Start - r.facts.Epoch)
 		lifetimes := r.lifetimes[sidecar]
@@ -373,9 +373,9 @@
 			r.breach(AuditTrue, a.QueriedAt, 0, nil, "the audit answers for a process %s/%d that never was", a.Name, a.Start)
 			continue
 		}
-		attempts := seen[under{sidecar, a.Rev}]
+		attempts := attemptTimes[sidecarRevision{sidecar, a.Rev}]
 		if a.Verdict != audit.Unknown { // an unknown verdict cannot be wrong
-			r.out.Checked[AuditTrue]++
+			r.verdict.Checked[AuditTrue]++
 		}
 		switch a.Verdict {
 		case audit.DidNotAct:
--- a/internal/lab/invariant/routes_test.go
+++ b/internal/lab/invariant/routes_test.go
@@ -129,26 +129,26 @@
 		process(4000, Started), process(4001, Serving), attemptAt(5000, 2, 20)}
 	first, second := epoch+int64(millis(5)), epoch+int64(millis(4005))
 	for name, c := range map[string]struct {
-		a      Answer
+		a      AuditResult
 		broken bool
 	}{
-		"did":                                 {Answer{From: 0, To: millis(3000), Start: first, Verdict: audit.Acted}, false},
-		"did not, and it did":                 {Answer{From: 0, To: millis(3000), Start: first, Verdict: audit.DidNotAct}, true},
-		"cannot be known":                     {Answer{From: 0, To: millis(3000), Start: first, Verdict: audit.Unknown}, false},
-		"did not, before":                     {Answer{From: 0, To: millis(999), Start: first, Verdict: audit.DidNotAct}, false},
-		"did not, and it began before":        {Answer{From: millis(990), To: millis(2000), Start: first, Verdict: audit.DidNotAct}, false},
-		"did not, the other life":             {Answer{From: millis(4100), To: millis(6000), Start: first, Verdict: audit.DidNotAct}, false},
-		"did not, the second life":            {Answer{From: 0, To: millis(6000), Start: second, Verdict: audit.DidNotAct}, true},
-		"did, and none was seen":              {Answer{From: millis(1200), To: millis(4800), Start: first, Verdict: audit.Acted}, true},
-		"did, under another":                  {Answer{Rev: 21, From: 0, To: millis(3000), Start: first, Verdict: audit.Acted}, true},
-		"did, and what it sent may have gone": {Answer{From: millis(7000), To: millis(8000), Start: second, Verdict: audit.Acted}, false},
-		"a process that never was":            {Answer{Start: epoch - 1, Verdict: audit.Unknown}, true},
+		"did":                                 {AuditResult{From: 0, To: millis(3000), Start: first, Verdict: audit.Acted}, false},
+		"did not, and it did":                 {AuditResult{From: 0, To: millis(3000), Start: first, Verdict: audit.DidNotAct}, true},
+		"cannot be known":                     {AuditResult{From: 0, To: millis(3000), Start: first, Verdict: audit.Unknown}, false},
+		"did not, before":                     {AuditResult{From: 0, To: millis(999), Start: first, Verdict: audit.DidNotAct}, false},
+		"did not, and it began before":        {AuditResult{From: millis(990), To: millis(2000), Start: first, Verdict: audit.DidNotAct}, false},
+		"did not, the other life":             {AuditResult{From: millis(4100), To: millis(6000), Start: first, Verdict: audit.DidNotAct}, false},
+		"did not, the second life":            {AuditResult{From: 0, To: millis(6000), Start: second, Verdict: audit.DidNotAct}, true},
+		"did, and none was seen":              {AuditResult{From: millis(1200), To: millis(4800), Start: first, Verdict: audit.Acted}, true},
+		"did, under another":                  {AuditResult{Rev: 21, From: 0, To: millis(3000), Start: first, Verdict: audit.Acted}, true},
+		"did, and what it sent may have gone": {AuditResult{From: millis(7000), To: millis(8000), Start: second, Verdict: audit.Acted}, false},
+		"a process that never was":            {AuditResult{Start: epoch - 1, Verdict: audit.Unknown}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.a.Name = "n0"; c.a.Rev == 0 {
 				c.a.Rev = 20
 			}
-			facts := &Routes{Answers: []Answer{c.a}, Epoch: epoch, Names: []string{"n0"}, LinkFaults: []Span{{millis(7500), millis(7600)}},
+			facts := &Routes{AuditResults: []AuditResult{c.a}, Epoch: epoch, Names: []string{"n0"}, LinkFaults: []Span{{millis(7500), millis(7600)}},
 				Rollouts: []Rollout{{Classes: []bool{true}, Servers: []bool{false, true}, After: 10}}}
 			v := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, Routes: facts})
 			if c.broken {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -149,7 +149,7 @@
 				assert.Empty(t, rep.Missed)
 			}
 			if o := rep.Registry; o != nil {
-				if len(o.Gaps) == 0 || o.Writes == 0 || o.ReadsLost > 0 || len(rep.Missed) > 0 {
+				if len(o.WriteGaps) == 0 || o.Writes == 0 || o.FailedReads > 0 || len(rep.Missed) > 0 {
 					t.Errorf("no fault, no write, or lost reads: %+v, %v", o, rep.Missed)
 				}
 				return
@@ -174,8 +174,8 @@
 			assert.Empty(t, rep.Verdict.Breaches)
 			assert.Empty(t, rep.Missed)
 			assert.NotZero(t, rep.Registry.Writes)
-			assert.NotEmpty(t, rep.Registry.Heals)
-			assert.Len(t, rep.Registry.Heals, rep.Verdict.Checked["disk-honest"])
+			assert.NotEmpty(t, rep.Registry.DiskRecoveryTimes)
+			assert.Len(t, rep.Registry.DiskRecoveryTimes, rep.Verdict.Checked["disk-honest"])
 		})
 	}
 }
--- a/internal/lab/members/members_test.go
+++ b/internal/lab/members/members_test.go
@@ -159,7 +159,7 @@
 	assert.Equal(t, []time.Duration{at(2), at(3)}, out.Noticed.Durations)
 	once := report.Times{Cases: 2, Never: 1, P50: 4000, P99: 4000, Max: 4000, Durations: []time.Duration{at(4)}}
 	assert.Equal(t, once, out.CountedOut)
-	assert.Equal(t, []int{1, 1, 0}, []int{out.FalseSilent, out.FalseDeaths, out.FalseGone})
+	assert.Equal(t, []int{1, 1, 0}, []int{out.FalseSilent, out.UnexplainedSilent, out.FalseGone})
 	assert.Equal(t, 6000.0, out.AgreeMS)
 	assert.Equal(t, [2]int{2, 2}, out.Known)
 	three := 3
--- a/internal/lab/members/result.go
+++ b/internal/lab/members/result.go
@@ -216,8 +216,8 @@
 					r.out.FalseGone++
 				case s.state == invariant.Silent:
 					if r.out.FalseSilent++; !r.explained(events, p, q, s.at) {
-						r.out.FalseDeaths++
-						r.out.FalseOnes = append(r.out.FalseOnes, fmt.Sprintf("%s of %s at %.1f s", r.name(q), id.name, s.at.Seconds()))
+						r.out.UnexplainedSilent++
+						r.out.FalseExamples = append(r.out.FalseExamples, fmt.Sprintf("%s of %s at %.1f s", r.name(q), id.name, s.at.Seconds()))
 					}
 				}
 			}
--- a/internal/lab/report/delayed_links.go
+++ b/internal/lab/report/delayed_links.go
@@ -6,14 +6,14 @@
 )
 
 // delayedLinks are the times in which links between sidecars and servers delay all messages.
-func delayedLinks(p *scenario.Plan) []invariant.HeldBack {
+func delayedLinks(p *scenario.Plan) []invariant.DelayedLink {
 	var all []int
 	for i := range p.Sidecars {
 		all = append(all, i)
 	}
-	var held []invariant.HeldBack
+	var held []invariant.DelayedLink
 	for _, one := range p.Faults {
-		h := invariant.HeldBack{From: one.At, To: one.Until, Sidecars: one.Sidecars, Servers: one.Servers}
+		h := invariant.DelayedLink{From: one.At, To: one.Until, Sidecars: one.Sidecars, Servers: one.Servers}
 		switch {
 		case one.Fault.Kind == "vanish":
 			h.Sidecars = all
--- a/internal/lab/report/members.go
+++ b/internal/lab/report/members.go
@@ -22,11 +22,11 @@
 	Left       Times `json:"left"` // of ends in order: from the signal until it was counted out
 	// FalseSilent are processes that lived and were taken for silent; FalseDeaths are those of them that were neither
 	// frozen nor cut off; FalseGone were said to be proved gone.
-	FalseSilent int      `json:"false_silent"`
-	FalseDeaths int      `json:"false_deaths"`
-	FalseGone   int      `json:"false_gone"`
-	FalseOnes   []string `json:"false_ones"` // the first of them without such a cause
-	Changes     int      `json:"changes"`    // of what some process counts
+	FalseSilent       int      `json:"false_silent"`
+	UnexplainedSilent int      `json:"false_deaths"`
+	FalseGone         int      `json:"false_gone"`
+	FalseExamples     []string `json:"false_ones"` // the first of them without such a cause
+	Changes           int      `json:"changes"`    // of what some process counts
 	// AgreeMS is from the last thing that happened until all counted the same; -1: not within the run.
 	AgreeMS        float64 `json:"agree_ms"`
 	JoiningMembers int     `json:"newcomers"`
@@ -113,9 +113,9 @@
 		fmt.Fprintf(w, "left          counted out %v\n", o.Left)
 	}
 	fmt.Fprintf(w, "the living    taken for silent %d times, %d of these without a cut or a freeze; said to be gone %d times\n",
-		o.FalseSilent, o.FalseDeaths, o.FalseGone)
-	if n := len(o.FalseOnes); n > 0 {
-		fmt.Fprintf(w, "              %s\n", strings.Join(o.FalseOnes[:min(n, MaxRows)], "; "))
+		o.FalseSilent, o.UnexplainedSilent, o.FalseGone)
+	if n := len(o.FalseExamples); n > 0 {
+		fmt.Fprintf(w, "              %s\n", strings.Join(o.FalseExamples[:min(n, MaxRows)], "; "))
 	}
 	fmt.Fprintf(w, "newcomers     %d; admitted %v\n", o.JoiningMembers, o.Admitted)
 	fmt.Fprintf(w, "views         %d changes; all agree %.0f ms after the last thing that happened (-1: not within the run)\n",
--- a/internal/lab/report/outcome.go
+++ b/internal/lab/report/outcome.go
@@ -51,17 +51,17 @@
 
 // Lateness is how well the lab kept its own times.
 type Lateness struct {
-	P99MS  float64 `json:"p99_ms"` // of arrivals behind their plan
-	MaxMS  float64 `json:"max_ms"`
-	LagMS  float64 `json:"lag_p99_ms"` // of a timer of the lab's process
-	TooBig bool    `json:"too_big"`
+	P99MS        float64 `json:"p99_ms"` // of arrivals behind their plan
+	MaxMS        float64 `json:"max_ms"`
+	LagMS        float64 `json:"lag_p99_ms"` // of a timer of the lab's process
+	ExceedsLimit bool    `json:"too_big"`
 }
 
 // NewLateness sums up how late arrivals were sent, and by how much a timer of the lab's process was late.
 func NewLateness(arrivals, timerLag []time.Duration) Lateness {
 	p99, worst, lag := quantile(arrivals, 0.99), quantile(arrivals, 1), quantile(timerLag, 0.99)
 	return Lateness{P99MS: milliseconds(p99), MaxMS: milliseconds(worst), LagMS: milliseconds(lag),
-		TooBig: p99 > MaxLatenessP99 || worst > MaxLateness || lag > MaxLatenessP99}
+		ExceedsLimit: p99 > MaxLatenessP99 || worst > MaxLateness || lag > MaxLatenessP99}
 }
 
 func quantile(list []time.Duration, q float64) time.Duration {
@@ -77,7 +77,7 @@
 
 // Outcome is how the run ended, with the reason.
 func (r *Report) Outcome() (end, reason string) {
-	if r.Lateness.TooBig {
+	if r.Lateness.ExceedsLimit {
 		return Late, fmt.Sprintf("the lab could not keep its times (arrivals %.0f ms late at the 99th percentile, %.0f ms at most; timers %.0f ms), so the run does not count",
 			r.Lateness.P99MS, r.Lateness.MaxMS, r.Lateness.LagMS)
 	}
@@ -99,7 +99,7 @@
 	facts := invariant.Facts{
 		MaxAttempts: s.Rules.MaxAttempts, DrainGrace: s.Rules.DrainGrace.Duration(),
 		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.MaxSockets, ServiceAfterTerm: scenario.ServiceAfterTerm,
-		Routes: routes, Latency: p.MaxLatency(), HeldBack: delayedLinks(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
+		Routes: routes, Latency: p.MaxLatency(), DelayedLinks: delayedLinks(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
 		SlowStart: slowStartLimits(p),
 	}
 	for _, c := range s.Classes {
--- a/internal/lab/report/routes.go
+++ b/internal/lab/report/routes.go
@@ -10,27 +10,27 @@
 
 // RoutesResult is what became of a run's rollouts.
 type RoutesResult struct {
-	Rollouts     []RolloutResult `json:"rollouts"`
-	Tables       int             `json:"tables"`   // revisions that were published
-	Closed       int64           `json:"closed"`   // the newest revision said to be closed
-	AuditAnswers int             `json:"asked"`    // questions that the audit answered
-	Verdicts     map[string]int  `json:"verdicts"` // of processes, over all of them
-	Held         float64         `json:"held"`     // share of attempts without permission, of tenants whose rollout was under way
-	Missed       []string        `json:"-"`        // expectations that were not met; they stand in the report's own list
+	Rollouts         []RolloutResult `json:"rollouts"`
+	Revisions        int             `json:"tables"`   // revisions that were published
+	Closed           int64           `json:"closed"`   // the newest revision said to be closed
+	AuditAnswers     int             `json:"asked"`    // questions that the audit answered
+	Verdicts         map[string]int  `json:"verdicts"` // of processes, over all of them
+	UnleasedFraction float64         `json:"held"`     // share of attempts without permission, of tenants whose rollout was under way
+	Missed           []string        `json:"-"`        // expectations that were not met; they stand in the report's own list
 }
 
 // RolloutResult is what became of one.
 type RolloutResult struct {
-	Name     string         `json:"name"`
-	Tenant   string         `json:"tenant"`
-	End      string         `json:"end"` // its phase; "refused", or empty where it is not known
-	Why      string         `json:"why,omitempty"`
-	Step     int            `json:"step"`
-	Budget   int64          `json:"budget"`
-	Failures int            `json:"failures"` // that servers saw, or made
-	Spent    int64          `json:"spent"`    // units, as the leader had it last
-	Canary   int            `json:"canary"`   // attempts to it
-	Steps    []StepFraction `json:"steps"`
+	Name           string         `json:"name"`
+	Tenant         string         `json:"tenant"`
+	Phase          string         `json:"end"` // its phase; "refused", or empty where it is not known
+	Reason         string         `json:"why,omitempty"`
+	Step           int            `json:"step"`
+	Budget         int64          `json:"budget"`
+	Failures       int            `json:"failures"` // that servers saw, or made
+	Spent          int64          `json:"spent"`    // units, as the leader had it last
+	CanaryAttempts int            `json:"canary"`   // attempts to it
+	Steps          []StepFraction `json:"steps"`
 }
 
 // StepFraction is the fraction of a step as it was published, and as servers measured it in the first attempts of requests.
@@ -48,16 +48,16 @@
 	fmt.Fprintf(w, "\n%-18s %-16s %-12s %5s %7s %7s %9s %9s  steps (share told, seen of so many first attempts)\n",
 		"rollout", "tenant", "end", "step", "budget", "spent", "failures", "canary")
 	for _, r := range o.Rollouts {
-		fmt.Fprintf(w, "%-18s %-16s %-12s %5d %7d %7d %9d %9d ", r.Name, r.Tenant, r.End, r.Step, r.Budget, r.Spent, r.Failures, r.Canary)
+		fmt.Fprintf(w, "%-18s %-16s %-12s %5d %7d %7d %9d %9d ", r.Name, r.Tenant, r.Phase, r.Step, r.Budget, r.Spent, r.Failures, r.CanaryAttempts)
 		for _, s := range r.Steps {
 			fmt.Fprintf(w, " %.3f: %.3f of %d;", s.Fraction, s.Measured, s.Attempts)
 		}
-		if r.Why != "" {
-			fmt.Fprintf(w, " (%s)", r.Why)
+		if r.Reason != "" {
+			fmt.Fprintf(w, " (%s)", r.Reason)
 		}
 		fmt.Fprintln(w)
 	}
-	fmt.Fprintf(w, "routes        %d tables told, closed up to %d; %.1f%% of attempts without permission\n", o.Tables, o.Closed, 100*o.Held)
+	fmt.Fprintf(w, "routes        %d tables told, closed up to %d; %.1f%% of attempts without permission\n", o.Revisions, o.Closed, 100*o.UnleasedFraction)
 	fmt.Fprintf(w, "audit         %d questions; processes that did %d, did not %d, cannot be known %d\n", o.AuditAnswers,
 		o.Verdicts[string(audit.Acted)], o.Verdicts[string(audit.DidNotAct)], o.Verdicts[string(audit.Unknown)])
 }
@@ -68,8 +68,8 @@
 	if r.Routes != nil {
 		out = append(out, r.Routes.Missed...)
 		for _, one := range r.Routes.Rollouts {
-			if want := s.Expect.RolloutPhases[one.Name]; want != "" && want != one.End {
-				out = append(out, fmt.Sprintf("rollout %s ends %q (%s), expected %q", one.Name, one.End, one.Why, want))
+			if want := s.Expect.RolloutPhases[one.Name]; want != "" && want != one.Phase {
+				out = append(out, fmt.Sprintf("rollout %s ends %q (%s), expected %q", one.Name, one.Phase, one.Reason, want))
 			}
 			for _, st := range one.Steps {
 				if off := math.Abs(st.Measured - st.Fraction); s.Expect.FractionError != nil && st.Attempts >= minFractionAttempts && off > *s.Expect.FractionError {
--- a/internal/lab/rollouts/driver.go
+++ b/internal/lab/rollouts/driver.go
@@ -35,15 +35,15 @@
 	epoch    time.Time // the wall clock at the run's beginning
 
 	mu           sync.Mutex
-	newestRev    int64              // of any table that was published
-	newestClosed int64              // the newest revision said to be closed
-	revisions    map[int64]bool     // of all tables that were published
-	postedAfter  []int64            // by rollout: see invariant.Rollout; -1: it was not posted
-	rejections   []string           // by rollout, why it was not taken; empty: it was
-	views        []rolloutView      // by rollout, the newest
-	finalPhases  []string           // by rollout, the phase as the leader has it at the end
-	answers      []invariant.Answer // of the audit
-	auditQueries int                // that were answered
+	newestRev    int64                   // of any table that was published
+	newestClosed int64                   // the newest revision said to be closed
+	revisions    map[int64]bool          // of all tables that were published
+	postedAfter  []int64                 // by rollout: see invariant.Rollout; -1: it was not posted
+	rejections   []string                // by rollout, why it was not taken; empty: it was
+	views        []rolloutView           // by rollout, the newest
+	finalPhases  []string                // by rollout, the phase as the leader has it at the end
+	answers      []invariant.AuditResult // of the audit
+	auditQueries int                     // that were answered
 	failures     []string
 	stalls       []invariant.Span
 
@@ -366,7 +366,7 @@
 	defer o.mu.Unlock()
 	o.auditQueries++
 	for _, a := range got.Answers {
-		o.answers = append(o.answers, invariant.Answer{Rev: rev, From: time.UnixMilli(fromMS).Sub(o.epoch), To: time.UnixMilli(toMS).Sub(o.epoch),
+		o.answers = append(o.answers, invariant.AuditResult{Rev: rev, From: time.UnixMilli(fromMS).Sub(o.epoch), To: time.UnixMilli(toMS).Sub(o.epoch),
 			QueriedAt: o.run.Elapsed(), Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
 	}
 }
@@ -453,7 +453,7 @@
 // Facts are what the invariants hold the run against.
 func (o *Driver) Facts() *invariant.Routes {
 	p, s := o.run.Plan, o.run.Scenario
-	f := &invariant.Routes{Answers: o.answers, LabStalls: o.stalls, Epoch: o.epoch.UnixNano(),
+	f := &invariant.Routes{AuditResults: o.answers, LabStalls: o.stalls, Epoch: o.epoch.UnixNano(),
 		Latency: time.Duration(float64(max(s.Network.CrossZone, s.Network.CrossRegion)) * (1 + s.Network.Jitter))}
 	if len(s.Network.Regions) == 0 {
 		f.Latency = time.Duration(float64(max(s.Network.CrossZone, s.Network.SameZone)) * (1 + s.Network.Jitter))
--- a/internal/lab/rollouts/result.go
+++ b/internal/lab/rollouts/result.go
@@ -15,15 +15,15 @@
 
 // Result is what became of the rollouts.
 func (o *Driver) Result(all []record.Event, facts *invariant.Routes, v *invariant.Verdict) *report.RoutesResult {
-	out := &report.RoutesResult{AuditAnswers: o.auditQueries, Verdicts: map[string]int{}, Tables: len(o.revisions), Missed: o.failures}
+	out := &report.RoutesResult{AuditAnswers: o.auditQueries, Verdicts: map[string]int{}, Revisions: len(o.revisions), Missed: o.failures}
 	for _, a := range o.answers {
 		out.Verdicts[string(a.Verdict)]++
 	}
 	for i := range o.run.Scenario.Rollouts {
 		p := &o.run.Scenario.Rollouts[i]
-		one := report.RolloutResult{Name: p.Name, Tenant: p.Tenant, End: o.finalPhases[i], Step: o.views[i].Step, Why: o.views[i].Why, Budget: p.Budget, Spent: o.views[i].Spent}
+		one := report.RolloutResult{Name: p.Name, Tenant: p.Tenant, Phase: o.finalPhases[i], Step: o.views[i].Step, Reason: o.views[i].Why, Budget: p.Budget, Spent: o.views[i].Spent}
 		if o.rejections[i] != "" {
-			one.End, one.Why = "refused", o.rejections[i]
+			one.Phase, one.Reason = "refused", o.rejections[i]
 		}
 		if i < len(v.Failures) {
 			one.Failures = v.Failures[i]
@@ -51,7 +51,7 @@
 	c := &fractionCount{published: map[int64][]publishedStep{}, running: map[int]invariant.Span{}}
 	c.readTables(events, facts)
 	out.Closed = max(out.Closed, c.closed)
-	out.Held = o.heldFraction(c.running, events)
+	out.UnleasedFraction = o.heldFraction(c.running, events)
 	sums := map[publishedStep]*report.StepFraction{}
 	counted := map[uint64]bool{} // requests whose first attempt was counted
 	for i := range events {
@@ -64,7 +64,7 @@
 			if r := &facts.Rollouts[t.rollout]; r.Tenant == int(e.Tenant) && r.Classes[e.Class] {
 				addAttempt(sums, t, e.Canary)
 				if e.Canary {
-					out.Rollouts[t.rollout].Canary++
+					out.Rollouts[t.rollout].CanaryAttempts++
 				}
 			}
 		}
