--- a/internal/lab/invariant/clients.go
+++ b/internal/lab/invariant/clients.go
@@ -7,20 +7,21 @@
 	"marblelane/internal/lab/record"
 )
 
-// forwardedDeadlineSlack is by how much the deadline that an attempt forwards may exceed the time that its client still waits.
+// forwardedDeadlineSlack is by how much the deadline that an attempt forwards may exceed the rest of its client's wait.
 const forwardedDeadlineSlack = 150 * time.Millisecond
 
-// clientGoneGrace is how long after its client has left a request may still be sent to a server.
+// clientGoneGrace is how long after its client has disconnected a request may still be sent to a server.
 const clientGoneGrace = 100 * time.Millisecond
 
-// DelayedLink is a time in which links delay their data: what a server receives then may have left the sidecar long before.
+// DelayedLink is a period in which links between sidecars and servers delay data: what a server receives in it may have
+// left the sidecar long before.
 type DelayedLink struct {
 	From, To time.Duration
 	Sidecars []int
 	Servers  []int
 }
 
-// mayBeDelayed reports whether what a server received at this time may have been delayed by its link.
+// mayBeDelayed reports whether the link may have delayed what a server received in this event.
 func (c *checker) mayBeDelayed(e record.Event) bool {
 	return slices.ContainsFunc(c.facts.DelayedLinks, func(h DelayedLink) bool {
 		return e.T >= h.From && e.T <= h.To+socketSlack &&
@@ -28,7 +29,7 @@
 	})
 }
 
-// checkClientGone checks that no attempt of a request begins after its client has left.
+// checkClientGone checks that no attempt of a request starts after its client has disconnected.
 func (c *checker) checkClientGone(r *requestEvents) {
 	leftAt := forever
 	for _, e := range r.events {
@@ -44,9 +45,9 @@
 	}
 }
 
-// checkForwardedDeadline checks that no attempt of a request forwards a longer deadline than its client still waits.
+// checkForwardedDeadline checks that no attempt forwards a deadline later than the end of its client's wait.
 func (c *checker) checkForwardedDeadline(r *requestEvents) {
-	var sent record.Event // the last time
+	var sent record.Event // the latest send by the client
 	for _, e := range r.events {
 		switch e.Kind {
 		case record.Sent:
@@ -57,27 +58,27 @@
 	}
 }
 
-// checkAttemptAfterLeave checks an attempt of a request whose client left at this time.
+// checkAttemptAfterLeave checks an attempt of a request whose client disconnected at leftAt.
 func (c *checker) checkAttemptAfterLeave(r *requestEvents, attempt record.Event, leftAt time.Duration) {
 	if leftAt >= attempt.T || c.mayBeDelayed(attempt) || c.longStallBetween(leftAt, attempt.T) {
 		return
 	}
 	if noticed := c.observableAt(attempt.Sidecar, leftAt, attempt.T); attempt.T > noticed+clientGoneGrace+socketSlack+c.facts.Latency+c.stallTime(noticed, attempt.T) {
-		c.breachOf(r, ClientGone, attempt.T, "sidecar %d began an attempt at server %d %.0f ms after its client had left",
+		c.breachOf(r, ClientGone, attempt.T, "sidecar %d started an attempt at server %d %.0f ms after its client had disconnected",
 			attempt.Sidecar, attempt.Server, ms(attempt.T-leftAt))
 	}
 }
 
-// longStall is the shortest stall of the lab during which other processes may have stalled for longer.
+// longStall is the shortest stall of the lab around which other processes may have stalled for longer than the lab.
 const longStall = 20 * time.Millisecond
 
-// longStallBetween reports whether the lab itself stalled for long between two times, so that it is unknown for how long
-// other processes did.
+// longStallBetween reports whether the lab had a long stall between two times. How long other processes stalled then is
+// unknown.
 func (c *checker) longStallBetween(from, to time.Duration) bool {
 	return slices.ContainsFunc(c.facts.Stalls, func(s Span) bool { return s.To-s.From >= longStall && s.From <= to && from <= s.To })
 }
 
-// stallTime is the total time between two times in which the machine gave the lab no processor time.
+// stallTime returns the total time between two times in which the lab got no processor time.
 func (c *checker) stallTime(from, to time.Duration) time.Duration {
 	sum := time.Duration(0)
 	for _, s := range c.facts.Stalls {
@@ -86,8 +87,8 @@
 	return sum
 }
 
-// observableAt is when a process could observe what arrived at one time, before a later one: a frozen one observes it when
-// it wakes.
+// observableAt returns when a process could first observe what arrived at from. A process that was frozen between from
+// and to observes it when it is thawed.
 func (c *checker) observableAt(sidecar int32, from, to time.Duration) time.Duration {
 	observable := from
 	for _, s := range c.frozen[sidecar] {
@@ -98,7 +99,7 @@
 	return observable
 }
 
-// checkAttemptDeadline checks the deadline that an attempt forwards against the time that its client still waits.
+// checkAttemptDeadline checks the deadline that an attempt forwards against the rest of its client's wait.
 func (c *checker) checkAttemptDeadline(r *requestEvents, attempt, sent record.Event) {
 	if attempt.N == 0 || sent.Work == 0 || c.mayBeDelayed(attempt) || c.longStallBetween(sent.T, attempt.T) {
 		return
@@ -111,6 +112,6 @@
 	if excess <= allowed {
 		return
 	}
-	c.breachOf(r, ForwardedDeadline, attempt.T, "sidecar %d told server %d that %d ms are left, %.0f ms more than its client had",
+	c.breachOf(r, ForwardedDeadline, attempt.T, "sidecar %d forwarded to server %d a deadline of %d ms, %.0f ms more than its client still waits",
 		attempt.Sidecar, attempt.Server, attempt.N, ms(excess))
 }
--- a/internal/lab/invariant/clients_test.go
+++ b/internal/lab/invariant/clients_test.go
@@ -8,7 +8,8 @@
 	"marblelane/internal/lab/record"
 )
 
-// An attempt that begins after its client has left breaks the rule; one that was in flight, or that a link delayed, does not.
+// An attempt that starts after its client has disconnected breaks the rule. An attempt that was in flight, or that a
+// link delayed, does not.
 func TestClientGone(t *testing.T) {
 	client := func(at int, kind record.Kind, note string) record.Event {
 		return record.Event{T: millis(at), Kind: kind, Request: 7, Server: record.None, Note: note}
@@ -22,29 +23,29 @@
 		held   []DelayedLink
 		broken bool
 	}{
-		"before":                {client(500, record.ClientLeft, ""), nil, 400, nil, false},
-		"right after":           {client(500, record.ClientLeft, ""), nil, 640, nil, false},
-		"later":                 {client(500, record.ClientLeft, ""), nil, 660, nil, true},
-		"after the listening":   {client(500, record.NoAnswer, "i/o timeout"), nil, 660, nil, true},
-		"at the end of the run": {client(500, record.NoAnswer, record.RunEnded), nil, 660, nil, false},
-		"answered":              {client(500, record.Answered, ""), nil, 660, nil, false},
-		"frozen then":           {client(500, record.ClientLeft, ""), frozen, 1600, nil, false},
-		"long after it woke":    {client(500, record.ClientLeft, ""), frozen, 1700, nil, true},
-		"held back":             {client(500, record.ClientLeft, ""), nil, 900, held, false},
-		"after what held back":  {client(500, record.ClientLeft, ""), nil, 1000, held, true},
-		"on another link":       {client(500, record.ClientLeft, ""), nil, 900, []DelayedLink{{To: time.Second, Sidecars: []int{0}, Servers: []int{4}}}, true},
+		"before":                      {client(500, record.ClientLeft, ""), nil, 400, nil, false},
+		"right after":                 {client(500, record.ClientLeft, ""), nil, 640, nil, false},
+		"later":                       {client(500, record.ClientLeft, ""), nil, 660, nil, true},
+		"after the wait":              {client(500, record.NoAnswer, "i/o timeout"), nil, 660, nil, true},
+		"at the end of the run":       {client(500, record.NoAnswer, record.RunEnded), nil, 660, nil, false},
+		"answered":                    {client(500, record.Answered, ""), nil, 660, nil, false},
+		"frozen when the client left": {client(500, record.ClientLeft, ""), frozen, 1600, nil, false},
+		"long after it was thawed":    {client(500, record.ClientLeft, ""), frozen, 1700, nil, true},
+		"delayed by the link":         {client(500, record.ClientLeft, ""), nil, 900, held, false},
+		"after the link's delay":      {client(500, record.ClientLeft, ""), nil, 1000, held, true},
+		"another link is delayed":     {client(500, record.ClientLeft, ""), nil, 900, []DelayedLink{{To: time.Second, Sidecars: []int{0}, Servers: []int{4}}}, true},
 	} {
 		events := append([]record.Event{process(0, Started), process(1, Serving), client(100, record.Sent, ""), c.left, send(c.send)}, c.more...)
 		slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.T - b.T) })
 		got := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, DelayedLinks: c.held}).Broken()
 		if slices.Contains(got, ClientGone) != c.broken {
-			t.Errorf("%s: broken are %v", name, got)
+			t.Errorf("%s: broken rules %v, want %s broken %v", name, got, ClientGone, c.broken)
 		}
 	}
 }
 
-// The time in which the lab got no processor time is not counted against processes, and nothing is around a long stall; what
-// lies outside is.
+// Time in which the lab got no processor time is not counted against sidecars, and no attempt around a long stall is
+// checked. Stalls outside the time between the disconnection and the attempt make no difference.
 func TestClientGone_labStalls(t *testing.T) {
 	for name, c := range map[string]struct {
 		stalls []Span
@@ -63,13 +64,13 @@
 			{T: millis(500), Kind: record.ClientLeft, Request: 7, Server: record.None}, send(710)}
 		got := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, Stalls: c.stalls}).Broken()
 		if slices.Contains(got, ClientGone) != c.broken {
-			t.Errorf("%s: broken are %v", name, got)
+			t.Errorf("%s: broken rules %v, want %s broken %v", name, got, ClientGone, c.broken)
 		}
 	}
 }
 
-// An attempt may forward no longer deadline than its client still waits, counted from when the process could read the
-// request.
+// An attempt may forward no deadline later than the end of its client's wait, which counts from when the process could
+// read the request.
 func TestForwardedDeadline(t *testing.T) {
 	sent := record.Event{T: millis(100), Kind: record.Sent, Request: 7, Server: record.None, Work: 1000}
 	for name, c := range map[string]struct {
@@ -78,15 +79,15 @@
 		more      []record.Event
 		broken    bool
 	}{
-		"all at once":        {101, 999, nil, false},
-		"what is left":       {600, 500, nil, false},
-		"within the slack":   {600, 650, nil, false},
-		"beyond the slack":   {600, 651, nil, true},
-		"the whole":          {600, 1000, nil, true},
-		"after its time":     {1300, 1, nil, true},
-		"nothing":            {600, 0, nil, false},
-		"frozen till then":   {600, 1000, []record.Event{process(50, Frozen), process(590, Thawed)}, false},
-		"frozen long before": {600, 1000, []record.Event{process(50, Frozen), process(99, Thawed)}, true},
+		"forwarded at once":       {101, 999, nil, false},
+		"the remaining time":      {600, 500, nil, false},
+		"within the slack":        {600, 650, nil, false},
+		"beyond the slack":        {600, 651, nil, true},
+		"the whole timeout":       {600, 1000, nil, true},
+		"after the client's wait": {1300, 1, nil, true},
+		"no deadline":             {600, 0, nil, false},
+		"frozen until then":       {600, 1000, []record.Event{process(50, Frozen), process(590, Thawed)}, false},
+		"frozen long before":      {600, 1000, []record.Event{process(50, Frozen), process(99, Thawed)}, true},
 	} {
 		attempt := send(c.at)
 		attempt.N = c.forwarded
@@ -94,7 +95,7 @@
 		slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.T - b.T) })
 		got := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3}).Broken()
 		if slices.Contains(got, ForwardedDeadline) != c.broken {
-			t.Errorf("%s: broken are %v", name, got)
+			t.Errorf("%s: broken rules %v, want %s broken %v", name, got, ForwardedDeadline, c.broken)
 		}
 	}
 }
--- a/internal/lab/invariant/invariant.go
+++ b/internal/lab/invariant/invariant.go
@@ -1,8 +1,8 @@
-// Package invariant checks a run against the rules that no scenario may break, from the records of all processes.
+// Package invariant checks the recorded events of a run against the rules that no run may break.
 //
-// The invariants stand in table.go. Each has a name, and a scenario with a planted defect that breaks it
-// (lab/scenarios/defects). A breach names one request and its path through every process. Time limits include 50 ms for
-// sockets.
+// table.go lists the invariants. Each has a name and a scenario with a planted defect that breaks it
+// (lab/scenarios/defects). A breach of a request's rule includes the request's events in every process. Time limits
+// include 50 ms for delays in sockets.
 package invariant
 
 import (
@@ -15,49 +15,49 @@
 	"marblelane/internal/lab/record"
 )
 
-// The rules.
+// The names of the invariants of requests and processes, and the tolerances of their checks.
 const (
-	OneAnswer          = "one-answer"    // each request that a running sidecar accepted gets one final answer
-	NonIdempotentOnce  = "unsafe-once"   // a non-idempotent request never runs twice, and is not retried where it may have run
-	OneAtATime         = "one-at-a-time" // never two attempts of a request at once
-	AttemptLimit       = "most-attempts" // at most MaxAttempts attempts of a request
-	NoUnknownRequest   = "no-stray"      // nothing reaches a server that no client sent in this form
-	Drain              = "drain"         // nothing new to a server after its drain or end was notified and the grace has passed
-	SlowStartLimit     = "cold"          // no server in slow start is overloaded, or gets more calls than allowed
-	Body               = "body"          // a served body is the one a server made for this request
-	ResourceLimits     = "limits"        // no process exceeds its memory or descriptors, or ends without a request to
-	ClientGone         = "client-gone"   // no attempt begins for a client that has left
-	ReadyInTime        = "ready-in-time" // nine in ten restarted processes are ready in time
-	ForwardedDeadline  = "time-told"     // an attempt forwards no longer deadline than its client still waits
+	OneAnswer          = "one-answer"    // each request that a running sidecar accepted gets one final response
+	NonIdempotentOnce  = "unsafe-once"   // a non-idempotent request never runs twice, and is not retried if it may have run
+	OneAtATime         = "one-at-a-time" // no two attempts of a request overlap
+	AttemptLimit       = "most-attempts" // a request has at most MaxAttempts attempts
+	NoUnknownRequest   = "no-stray"      // every request at a server was sent by a client in the same form
+	Drain              = "drain"         // a server gets no new attempt once the grace after the notice of its drain or end is over
+	SlowStartLimit     = "cold"          // no server crashes by overload, or gets more calls in slow start than allowed
+	Body               = "body"          // the body of a response is the one that a server made for this request
+	ResourceLimits     = "limits"        // no process exceeds its limit of memory or descriptors, or ends without a signal
+	ClientGone         = "client-gone"   // no attempt starts after its client has disconnected
+	ReadyInTime        = "ready-in-time" // nine of ten restarted processes are ready in time
+	ForwardedDeadline  = "time-told"     // the deadline that an attempt forwards is no later than the end of its client's wait
 	socketSlack        = 50 * time.Millisecond
-	maxPrintedBreaches = 3 // breaches of a rule whose paths are kept
-	// connectionEndSlack is how much sooner a client may see its connection end than the process is known to have ended: the
-	// kernel closes the descriptors of a process before its parent is notified.
+	maxPrintedBreaches = 3 // breaches reported in full per rule; the others are only counted
+	// connectionEndSlack is how long before the recorded end of a process its clients may see their connections end: the
+	// kernel closes the descriptors of a process before it notifies the parent.
 	connectionEndSlack = 20 * time.Millisecond
-	// noAnswerNoticedWithin is how long after the end of a process a waiting client notices it.
+	// noAnswerNoticedWithin is the time after the end of a process within which a waiting client notices it.
 	noAnswerNoticedWithin = 500 * time.Millisecond
 )
 
-// Facts are the settings and faults of the run that the records are checked against.
+// Facts are the settings and faults of a run that its events are checked against.
 type Facts struct {
-	NonIdempotent []bool // by class
-	MaxAttempts   int
+	NonIdempotent []bool // whether the requests of a class are non-idempotent, by class
+	MaxAttempts   int    // limit of attempts per request
 	DrainGrace    time.Duration
-	MemoryMB      int // of a sidecar; 0: no limit
-	Sockets       int
-	// ServiceAfterTerm is how long after SIGTERM a request may arrive and still be unanswered at SIGKILL.
+	MemoryMB      int // memory limit of a sidecar in MB; 0 means no limit
+	Sockets       int // descriptor limit of a sidecar; 0 means no limit
+	// ServiceAfterTerm is the time after SIGTERM until which a request may arrive and be unanswered at SIGKILL.
 	ServiceAfterTerm time.Duration
-	Routes           *Routes // nil: there are none
-	// Latency is the longest time one way between a sidecar and a server.
+	Routes           *Routes // nil if the run has no rollouts
+	// Latency is the longest one-way delay between a sidecar and a server.
 	Latency      time.Duration
-	DelayedLinks []DelayedLink // by links that delay what is sent
-	Stalls       []Span        // times in which the machine gave the lab, and so its processes, no processor time
+	DelayedLinks []DelayedLink // times in which links delay data
+	Stalls       []Span        // times in which the lab, and so its processes, got no processor time
 	SlowStart    SlowStart
-	// ReadyWithin is how long a restarted process may take to be ready; 0: any time.
+	// ReadyWithin is how long a restarted process may take to be ready; 0 means no limit.
 	ReadyWithin time.Duration
 }
 
-// Breach is one rule broken.
+// Breach is one case in which a run broke a rule.
 type Breach struct {
 	Rule    string   `json:"rule"`
 	At      float64  `json:"at_s"`
@@ -66,15 +66,15 @@
 	Path    []string `json:"path,omitempty"`
 }
 
-// Verdict is the result of all rules for a run.
+// Verdict is the result of all checks of a run.
 type Verdict struct {
 	Counts   map[string]int `json:"counts"` // breaches by rule
 	Breaches []Breach       `json:"breaches"`
-	Checked  map[string]int `json:"checked"`                    // how many cases each rule was checked on
-	Failures []int          `json:"rollout_failures,omitempty"` // of each rollout's canary, as servers saw them
+	Checked  map[string]int `json:"checked"`                    // number of cases checked, by rule
+	Failures []int          `json:"rollout_failures,omitempty"` // failures of each rollout's canary, from the servers' events
 }
 
-// Broken lists the broken rules.
+// Broken returns the names of the broken rules, sorted.
 func (v *Verdict) Broken() []string {
 	var names []string
 	for rule := range v.Counts {
@@ -84,30 +84,30 @@
 	return names
 }
 
-// span is a time in which something held.
+// span is a period of a run, both ends included.
 type span struct{ from, to time.Duration }
 
 const forever = time.Duration(1<<63 - 1)
 
 func (s span) meets(from, to time.Duration) bool { return s.from <= to && from <= s.to }
 
-// checker checks the records against all rules.
+// checker checks the events of a run against all rules.
 type checker struct {
 	facts   Facts
 	events  []record.Event
 	byID    map[uint64][]int
 	verdict *Verdict
 
-	unavailable map[int32][]span        // times in which a sidecar does not run
-	frozen      map[int32][]span        // times in which a sidecar is frozen
-	termAt      map[int32]time.Duration // SIGTERM of processes that have not ended yet
+	unavailable map[int32][]span        // periods from a SIGKILL without SIGTERM until a process of the sidecar is ready
+	frozen      map[int32][]span        // periods in which a sidecar was frozen
+	termAt      map[int32]time.Duration // time of SIGTERM to each process that has not ended yet
 	ends        map[int32][]processEnd
 }
 
 // processEnd is how a process ended after SIGTERM.
 type processEnd struct {
 	termAt, endedAt time.Duration
-	killed          bool // by SIGKILL, as it took too long
+	killed          bool // by SIGKILL, because it took too long to end
 }
 
 // Check checks the events of a run, ordered by time, against all rules.
@@ -129,7 +129,7 @@
 	for id := range c.byID {
 		ids = append(ids, id)
 	}
-	// In order of their first event, so that the same records give the same breaches.
+	// Requests are checked in the order of their first event, so that the same events yield the same breaches.
 	slices.SortFunc(ids, func(a, b uint64) int { return cmp.Compare(c.byID[a][0], c.byID[b][0]) })
 	for _, id := range ids {
 		c.checkRequest(collectRequest(id, c.byID[id], events))
@@ -143,7 +143,7 @@
 	return c.verdict
 }
 
-// Notes of Process events, which the lab writes.
+// Notes of the Process events that the lab records.
 const (
 	Started  = "started"
 	Serving  = "ready"
@@ -155,7 +155,7 @@
 	Thawed   = "thawed"
 )
 
-// recordProcess records when each sidecar could answer.
+// recordProcess records when a sidecar could not respond, and how its processes ended after SIGTERM.
 func (c *checker) recordProcess(e *record.Event) {
 	closeLast := func(m map[int32][]span) {
 		if s := m[e.Sidecar]; len(s) > 0 && s[len(s)-1].to == forever {
@@ -206,30 +206,30 @@
 	c.verdict.Breaches = append(c.verdict.Breaches, b)
 }
 
-// attempt is one send of a request to a server, from the server's records.
+// attempt is one attempt of a request, from the events of its server.
 type attempt struct {
 	server, connection int
-	from, to           time.Duration // last byte there; answered, or seen closed
+	from, to           time.Duration // arrival of the last byte; the server's response, or the close that it observed
 	rejected           bool
 }
 
-// requestEvents is what the records say of one request.
+// requestEvents are the events of one request, and what the checks need of them.
 type requestEvents struct {
 	id             uint64
-	path           []int          // indices of its events
-	events         []record.Event // by time
-	sends          []record.Event // by its client
+	path           []int          // indices of its events in checker.events
+	events         []record.Event // ordered by time
+	sends          []record.Event // sends by its client
 	responses      int
 	attempts       []attempt
-	executions     int           // on servers
-	connectionLost bool          // of its client
-	noAnswer       bool          // in its time, before the end of the run
-	extraBytes     bool          // after an answer
-	lastAt         time.Duration // of the last event
-	unansweredAt   time.Duration // when its client knew that no answer comes
+	executions     int           // executions on servers
+	connectionLost bool          // its client's connection ended without a response
+	noAnswer       bool          // its client's wait ended without a response before the end of the run
+	extraBytes     bool          // bytes followed the response
+	lastAt         time.Duration // time of the last event
+	unansweredAt   time.Duration // when its client knew that no response would come
 }
 
-// checkRequest checks the events of one request against all invariants of requests.
+// checkRequest checks one request against all invariants of requests.
 func (c *checker) checkRequest(r *requestEvents) {
 	for i := range all {
 		if check := all[i].checkRequest; check != nil && (len(r.sends) > 0 || all[i].unsent) {
@@ -238,7 +238,7 @@
 	}
 }
 
-// collectRequest gathers the events of a request.
+// collectRequest collects the events of a request at these indices.
 func collectRequest(id uint64, path []int, events []record.Event) *requestEvents {
 	r := &requestEvents{id: id, path: path}
 	for _, i := range path {
@@ -267,12 +267,12 @@
 	return r
 }
 
-// breachOf reports that a request breaks an invariant.
+// breachOf records that a request broke an invariant.
 func (c *checker) breachOf(r *requestEvents, invariant string, at time.Duration, format string, args ...any) {
 	c.breach(invariant, at, r.id, r.path, format, args...)
 }
 
-// endAttempt records that a server answered, rejected or lost an attempt.
+// endAttempt records that a server responded to, rejected or lost an attempt.
 func (r *requestEvents) endAttempt(e record.Event) {
 	for k := range r.attempts {
 		a := &r.attempts[k]
@@ -281,34 +281,34 @@
 		}
 		if e.Kind == record.Rejected {
 			a.rejected = true
-			continue // Replied gives the end
+			continue // the Replied event that follows has the end
 		}
 		a.to = e.T
 	}
 }
 
-// checkUnknownRequest checks that a client sent in this form what servers got under the ID of a request.
+// checkUnknownRequest checks that what servers received under the ID of a request was sent by a client in the same form.
 func (c *checker) checkUnknownRequest(r *requestEvents) {
 	if len(r.sends) > 0 && len(r.attempts) > 0 {
 		c.verdict.Checked[NoUnknownRequest]++
 	}
 	for _, e := range r.events {
 		if e.Kind == record.UnknownRequest {
-			c.breachOf(r, NoUnknownRequest, e.T, "server %d heard of sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
+			c.breachOf(r, NoUnknownRequest, e.T, "server %d received an unexpected request from sidecar %d: %s", e.Server, e.Sidecar, e.Note)
 		}
 	}
 }
 
-// checkUnreadable checks that no server got a request without a readable ID.
+// checkUnreadable checks that no server received a request without a readable ID.
 func (c *checker) checkUnreadable() {
 	for i := range c.events {
 		if e := &c.events[i]; e.Kind == record.UnknownRequest && e.Request == 0 {
-			c.breach(NoUnknownRequest, e.T, 0, nil, "server %d heard of sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
+			c.breach(NoUnknownRequest, e.T, 0, nil, "server %d received an unexpected request from sidecar %d: %s", e.Server, e.Sidecar, e.Note)
 		}
 	}
 }
 
-// checkBody checks that a client got the body that was made for its request.
+// checkBody checks that a client received the body that was made for its request.
 func (c *checker) checkBody(r *requestEvents) {
 	for _, e := range r.events {
 		if e.Kind != record.Answered || e.Status != http.StatusOK {
@@ -316,35 +316,36 @@
 		}
 		c.verdict.Checked[Body]++
 		if e.Sum != e.Want {
-			c.breachOf(r, Body, e.T, "the client got body %016x, the one made for it is %016x", e.Sum, e.Want)
+			c.breachOf(r, Body, e.T, "the client received a body with checksum %016x, expected %016x", e.Sum, e.Want)
 		}
 	}
 }
 
-// checkOneAnswer checks that a client got one final answer.
+// checkOneAnswer checks that a request got one final response.
 func (c *checker) checkOneAnswer(r *requestEvents) {
 	c.verdict.Checked[OneAnswer]++
 	from := r.sends[0].T
 	owner := r.sends[0].Sidecar
 	switch {
 	case r.responses > 1 || r.extraBytes:
-		c.breachOf(r, OneAnswer, r.lastAt, "it was answered more than once")
+		c.breachOf(r, OneAnswer, r.lastAt, "the request got more than one response")
 	case r.responses == 1 || !r.connectionLost && !r.noAnswer:
 	case c.checkProcessEnd(r):
 	case anyMeets(c.unavailable[owner], from, r.lastAt) || anyMeets(c.frozen[owner], from, r.lastAt):
-		// What a killed sidecar had accepted is lost with it; a frozen one cannot answer.
+		// A killed sidecar loses what it had accepted, and a frozen one cannot respond.
 	case r.connectionLost && len(r.attempts) == 0:
-		// The close crossed a request that had not been read, or failed one before anything was sent.
+		// The sidecar closed the connection before it read the request, or before it sent an attempt.
 	case r.connectionLost:
-		c.breachOf(r, OneAnswer, r.lastAt, "its connection was ended without a whole answer")
+		c.breachOf(r, OneAnswer, r.lastAt, "the connection ended before a complete response")
 	default:
-		c.breachOf(r, OneAnswer, r.lastAt, "no answer within 0.5 s of its time")
+		c.breachOf(r, OneAnswer, r.lastAt, "no response within 0.5 s of the end of its time")
 	}
 }
 
-// checkProcessEnd checks a request without an answer that was in flight when its process ended after SIGTERM; it reports
-// whether the request was such a one. A process that ends by itself has to answer all that it accepted, read or not. What
-// SIGKILL interrupts is a breach if it arrived after ServiceAfterTerm; the answer to an earlier one was not due yet.
+// checkProcessEnd checks a request without a response that was in flight when its process ended after SIGTERM, and
+// reports whether the request is such a one. A process that ends by itself has to respond to every request that it
+// accepted, read or not. A request that SIGKILL interrupts is a breach if it arrived more than ServiceAfterTerm after
+// SIGTERM: the response to an earlier one was not due yet.
 func (c *checker) checkProcessEnd(r *requestEvents) bool {
 	sent, lost := r.sends[len(r.sends)-1], r.unansweredAt
 	for _, e := range c.ends[sent.Sidecar] {
@@ -353,9 +354,9 @@
 		}
 		switch after := sent.T - e.termAt; {
 		case !e.killed:
-			c.breachOf(r, OneAnswer, e.endedAt, "its process ended by itself, %.0f ms after SIGTERM, and left it unanswered", ms(e.endedAt-e.termAt))
+			c.breachOf(r, OneAnswer, e.endedAt, "the process ended by itself %.0f ms after SIGTERM without a response to this request", ms(e.endedAt-e.termAt))
 		case after > c.facts.ServiceAfterTerm:
-			c.breachOf(r, OneAnswer, e.endedAt, "it came %.0f ms after SIGTERM, and SIGKILL found it unanswered", ms(after))
+			c.breachOf(r, OneAnswer, e.endedAt, "the request arrived %.0f ms after SIGTERM and had no response at SIGKILL", ms(after))
 		}
 		return true
 	}
@@ -364,15 +365,15 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// checkAttemptLimit checks the number of attempts at servers.
+// checkAttemptLimit checks the number of attempts that reached servers.
 func (c *checker) checkAttemptLimit(r *requestEvents) {
 	c.verdict.Checked[AttemptLimit]++
 	if n := len(r.attempts); n > c.facts.MaxAttempts {
-		c.breachOf(r, AttemptLimit, r.attempts[n-1].from, "%d attempts, of %d", n, c.facts.MaxAttempts)
+		c.breachOf(r, AttemptLimit, r.attempts[n-1].from, "%d attempts, at most %d allowed", n, c.facts.MaxAttempts)
 	}
 }
 
-// checkNonIdempotentOnce checks that a non-idempotent request ran at most once, and was not sent again where it may have.
+// checkNonIdempotentOnce checks that a non-idempotent request ran at most once, and was not retried if it may have run.
 func (c *checker) checkNonIdempotentOnce(r *requestEvents) {
 	class := r.sends[len(r.sends)-1].Class
 	if !c.facts.NonIdempotent[class] || len(r.attempts) == 0 {
@@ -386,13 +387,13 @@
 		}
 	}
 	if r.executions > 1 {
-		c.breachOf(r, NonIdempotentOnce, r.attempts[0].from, "it ran %d times", r.executions)
+		c.breachOf(r, NonIdempotentOnce, r.attempts[0].from, "the non-idempotent request ran %d times", r.executions)
 	} else if mayHaveRun > 1 {
-		c.breachOf(r, NonIdempotentOnce, r.attempts[0].from, "it was sent again although it may have run")
+		c.breachOf(r, NonIdempotentOnce, r.attempts[0].from, "the non-idempotent request was retried although it may have run")
 	}
 }
 
-// checkOneAtATime checks that an attempt begins after the end of the one before.
+// checkOneAtATime checks that an attempt starts after the end of the one before.
 func (c *checker) checkOneAtATime(r *requestEvents) {
 	if len(r.attempts) < 2 {
 		return
@@ -401,18 +402,18 @@
 	for k := 1; k < len(r.attempts); k++ {
 		before, next := r.attempts[k-1], r.attempts[k]
 		if before.to > next.from+socketSlack {
-			c.breachOf(r, OneAtATime, next.from, "two attempts at once, at servers %d and %d", before.server, next.server)
+			c.breachOf(r, OneAtATime, next.from, "attempts at servers %d and %d overlap", before.server, next.server)
 			return
 		}
 	}
 }
 
-// checkDrains checks what was sent to servers after the sidecar was notified of their drain.
+// checkDrains checks that a server gets no attempt once the grace after the notice of its drain or end is over.
 func (c *checker) checkDrains() {
 	type pair struct{ sidecar, server int32 }
-	notifiedAt := map[pair]time.Duration{}
-	latestStart := map[pair]int64{} // the latest start of a server that a sidecar was notified of
-	running := map[int32]int{}      // processes of each sidecar that serve
+	notifiedAt := map[pair]time.Duration{} // start of the grace
+	latestStart := map[pair]int64{}        // latest start of a server that a sidecar was notified of
+	running := map[int32]int{}             // processes of each sidecar that are ready
 	started := map[int32]time.Duration{}
 	for i := range c.events {
 		e := &c.events[i]
@@ -421,7 +422,7 @@
 		case record.Notified:
 			_, notified := notifiedAt[key]
 			switch {
-			case e.N < latestStart[key]: // of an earlier start: a lagging list service says nothing of this one
+			case e.N < latestStart[key]: // from a lagging list service, about an earlier start of the server
 			case e.Note == "Ready":
 				latestStart[key] = e.N
 				delete(notifiedAt, key)
@@ -434,8 +435,9 @@
 			case Ended, Crashed:
 				running[e.Sidecar]--
 			case Serving:
-				// A process that starts alone knows what it is notified of from now on. At an upgrade both are one sidecar:
-				// the old one knows all, and the grace starts again when the new one serves.
+				// A process that replaces none knows only what it was notified of since its start. In an upgrade two
+				// processes make up the sidecar: what the old one knows still holds, and the grace starts again when the
+				// new one is ready.
 				for key, graceFrom := range notifiedAt {
 					if key.sidecar != e.Sidecar {
 						continue
@@ -455,7 +457,7 @@
 			if !notified || e.T <= graceFrom+c.facts.DrainGrace+socketSlack {
 				continue
 			}
-			// A frozen process reads nothing: its grace starts when it wakes.
+			// A frozen process reads nothing: its grace starts when it is thawed.
 			for _, s := range c.frozen[e.Sidecar] {
 				if s.meets(graceFrom, e.T) {
 					graceFrom = max(graceFrom, s.to)
@@ -463,21 +465,21 @@
 			}
 			if e.T > graceFrom+c.facts.DrainGrace+socketSlack {
 				c.breach(Drain, e.T, e.Request, c.byID[e.Request],
-					"sidecar %d sent to server %d %.0f ms after it was told that this one drains or is gone",
+					"sidecar %d sent an attempt to server %d %.0f ms after it was notified that the server is draining or removed",
 					e.Sidecar, e.Server, float64(e.T-graceFrom)/1e6)
 			}
 		}
 	}
 }
 
-// checkResourceLimits checks the memory and descriptors of sidecars, and that none crashes.
+// checkResourceLimits checks the memory and descriptors of sidecars, and that none ends without a signal.
 func (c *checker) checkResourceLimits() {
 	for i := range c.events {
 		switch e := &c.events[i]; {
 		case e.Kind == record.Sample && e.Sidecar != record.None:
 			c.checkSample(e)
 		case e.Kind == record.Process && e.Note == Crashed:
-			c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d ended unasked", e.Sidecar)
+			c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d ended without a signal", e.Sidecar)
 		}
 	}
 }
@@ -486,9 +488,9 @@
 func (c *checker) checkSample(e *record.Event) {
 	c.verdict.Checked[ResourceLimits]++
 	if c.facts.MemoryMB > 0 && e.N > int64(c.facts.MemoryMB)<<20 {
-		c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d has %.1f MB of %d", e.Sidecar, float64(e.N)/(1<<20), c.facts.MemoryMB)
+		c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d uses %.1f MB of memory, limit %d MB", e.Sidecar, float64(e.N)/(1<<20), c.facts.MemoryMB)
 	}
 	if c.facts.Sockets > 0 && int(e.Status) > c.facts.Sockets {
-		c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d has %d descriptors of %d", e.Sidecar, e.Status, c.facts.Sockets)
+		c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d has %d open descriptors, limit %d", e.Sidecar, e.Status, c.facts.Sockets)
 	}
 }
--- a/internal/lab/invariant/members.go
+++ b/internal/lab/invariant/members.go
@@ -9,13 +9,13 @@
 	"marblelane/internal/lab/record"
 )
 
-// The rules of membership (docs/membership.md).
+// The names of the invariants of membership (docs/membership.md).
 const (
-	QuotaSum = "shares"   // the quotas that the running processes take add up to no more than the fleet's
-	NotGone  = "not-gone" // no process that is alive is reported as proved gone
+	QuotaSum = "shares"   // the quotas of the running processes add up to at most the fleet's total
+	NotGone  = "not-gone" // no running process is reported as proved gone
 )
 
-// Notes of MemberProcess events.
+// Notes of MemberProcess events: a process serves, was sent SIGTERM, or has ended.
 const (
 	MemberServes = "serves"
 	MemberLeaves = "is told to end"
@@ -25,7 +25,7 @@
 // MemberLeft is the note of a MembershipStatus event in which a process reports that it has left.
 const MemberLeft = "left"
 
-// States that are reported of a member; Absent is the lab's word for one that is no longer listed.
+// The states that processes report of a member. Absent is recorded by the lab for a member that is no longer listed.
 const (
 	Alive  = "alive"
 	Silent = "silent"
@@ -33,52 +33,54 @@
 	Absent = "absent"
 )
 
-// Members is what a run with membership is checked against.
+// Members are the settings and faults that a run with membership is checked against.
 type Members struct {
-	Names             []string // of the parties: sidecars, and then list service replicas, which take no quota
+	Names             []string // names of the sidecars, then of the list service replicas, which take no quota
 	Sidecars          int
-	WithoutMembership int // sidecars without membership, which take a quota of 1/Peers each
-	Peers             int // processes that count before any other was observed
-	// False are times in which addresses refuse connections although their processes are alive, and some time after.
+	WithoutMembership int // number of sidecars without membership, each of which takes a quota of 1/Peers
+	Peers             int // number of processes that a process assumes before it has observed another
+	// FalseRefusals are periods in which addresses refuse connections although their processes run, and some time after.
 	FalseRefusals []Span
 }
 
-// believable is by how much the sum may exceed its bound: estimates are written with few digits.
+// quotaTolerance is by how much the sum of the quotas may exceed its limit: estimates are reported with few digits.
 const quotaTolerance = 1e-6
 
-// statusReport is what one process reported of itself and of the fleet.
+// statusReport is the status that a process reported of itself.
 type statusReport struct {
-	requestedAt, receivedAt time.Duration // the report is of some moment between
-	start                   int64
-	quota                   float64
-	forced, left            bool
+	requestedAt, receivedAt time.Duration // the process took its status between these times
+	start                   int64         // start of the process, as it identifies itself
+	quota                   float64       // fraction of the fleet's total
+	forced                  bool          // admitted by timeout
+	left                    bool
 }
 
-// member is one process.
+// member is one process of a sidecar or a list service replica.
 type member struct {
-	party      int32
-	reports    []statusReport
+	party      int32          // index of its sidecar or replica in Members.Names
+	reports    []statusReport // ordered by time
 	servesFrom time.Duration
 	termAt     time.Duration // SIGTERM
 	endedAt    time.Duration
 }
 
-// quotaInterval is a time in which a process took at least a quota.
+// quotaInterval is a period in which a process took at least a certain quota.
 type quotaInterval struct {
 	from, to time.Duration
-	party    int32
-	serial   uint64
+	party    int32  // see member.party
+	serial   uint64 // number of the process
 	minQuota float64
 	forced   bool
 }
 
+// members checks all rules of membership.
 type members struct {
 	*checker
 	facts *Members
-	all   map[uint64]*member // by the number of the process
+	all   map[uint64]*member // by number of the process
 }
 
-// CheckMembers checks the events of a run, ordered by time, against the rules of membership, and adds its findings to a verdict.
+// CheckMembers checks the events of a run, ordered by time, against the rules of membership, and adds the breaches to v.
 func CheckMembers(events []record.Event, facts *Members, v *Verdict) {
 	m := newMembers(&checker{events: events, verdict: v}, facts)
 	for i := range all {
@@ -88,12 +90,13 @@
 	}
 }
 
-// checkQuotas checks the sum of the quotas, and that members that have left send nothing.
+// checkQuotas checks the sum of the quotas, and that members that left send nothing to servers.
 func (m *members) checkQuotas() {
 	m.checkQuotaSum()
 	m.checkLeft()
 }
 
+// newMembers collects the status reports and the lifetime of each process.
 func newMembers(c *checker, facts *Members) *members {
 	m := &members{checker: c, facts: facts, all: map[uint64]*member{}}
 	memberOf := func(e *record.Event) *member {
@@ -120,19 +123,19 @@
 	return m
 }
 
-// quotaOf is the quota of the fleet's total that a process takes, by its report.
+// quotaOf returns the quota that a process takes according to its report, as a fraction of the fleet's total.
 func (m *members) quotaOf(e *record.Event) float64 {
 	switch {
-	case !e.Canary || int(e.Sidecar) >= m.facts.Sidecars || e.Note == MemberLeft: // see checkLeft
+	case !e.Canary || int(e.Sidecar) >= m.facts.Sidecars || e.Note == MemberLeft: // checkLeft checks those that left
 		return 0
 	case e.Work > 0:
 		return 1 / e.Work
 	}
-	return 1 / float64(m.facts.Peers) // it has no estimate yet
+	return 1 / float64(m.facts.Peers) // the process has no estimate yet
 }
 
-// quotaIntervals are the times between the reports of a process, and during each, with the least quota that it can have
-// taken then.
+// quotaIntervals returns the periods during and between the status reports of each process, with the least quota that
+// the process can have taken in each.
 func (m *members) quotaIntervals() []quotaInterval {
 	var out []quotaInterval
 	for serial, p := range m.all {
@@ -155,14 +158,14 @@
 	return out
 }
 
-// QuotaMoment is the least that the running processes take together, from a time on.
+// QuotaMoment is the least sum of the running processes' quotas from a time on.
 type QuotaMoment struct {
 	At           time.Duration
-	Sum, Allowed float64
-	Processes    int // processes that take a quota
+	Sum, Allowed float64 // fractions of the fleet's total
+	Processes    int     // number of processes that take a quota; processes of one sidecar count once
 }
 
-// QuotaMoments follows the sum of the quotas through a run.
+// QuotaMoments returns the sum of the quotas at each of its changes in a run, ordered by time.
 func QuotaMoments(events []record.Event, facts *Members) []QuotaMoment {
 	return newMembers(&checker{events: events}, facts).quotaMoments()
 }
@@ -200,7 +203,7 @@
 	return out
 }
 
-// quotaMomentAt adds the quotas up. Two processes of one sidecar, in an upgrade, share its quota.
+// quotaMomentAt adds up the quotas of the active intervals. In an upgrade, a sidecar's two processes share its quota.
 func (m *members) quotaMomentAt(at time.Duration, now map[int32]map[uint64]*quotaInterval) QuotaMoment {
 	moment := QuotaMoment{At: at, Sum: float64(m.facts.WithoutMembership) / float64(m.facts.Peers), Allowed: 1, Processes: m.facts.WithoutMembership}
 	var forced []float64
@@ -219,19 +222,20 @@
 			}
 		}
 	}
-	// What the others take is at most 1. A process that was admitted by timeout counts the processes of the settings if it
-	// has observed none, or those that it has observed.
+	// The quotas of all other processes add up to at most 1. A process that was admitted by timeout may add a quota for the
+	// number of processes in its settings if it has observed none, or else for the number that it has observed.
 	for _, quota := range forced {
 		moment.Allowed += min(quota, max(1/float64(m.facts.Peers), 1/float64(moment.Processes)))
 	}
 	return moment
 }
 
+// duringFalseRefusal reports whether addresses of running processes refuse connections at this time.
 func (m *members) duringFalseRefusal(at time.Duration) bool {
 	return slices.ContainsFunc(m.facts.FalseRefusals, func(s Span) bool { return s.From <= at && at <= s.To })
 }
 
-// checkQuotaSum checks the sum against what the fleet may take.
+// checkQuotaSum checks the sum of the quotas against its limit. Each rise of the sum above the limit is one breach.
 func (m *members) checkQuotaSum() {
 	over := false
 	for _, moment := range m.quotaMoments() {
@@ -241,14 +245,14 @@
 		m.verdict.Checked[QuotaSum]++
 		wasOver := over
 		if over = moment.Sum > moment.Allowed+quotaTolerance; over && !wasOver {
-			m.breach(QuotaSum, moment.At, 0, nil, "%d processes take %.3f of what the fleet allows together, at most %.3f may be",
+			m.breach(QuotaSum, moment.At, 0, nil, "the quotas of %d processes add up to %.3f of the fleet's total, at most %.3f allowed",
 				moment.Processes, moment.Sum, moment.Allowed)
 		}
 	}
 }
 
-// checkLeft checks that processes which reported that they left send nothing to servers any more. Where a sidecar has two
-// processes it is unknown which one sent a request.
+// checkLeft checks that a process sends nothing to servers after it reported that it left. Requests of a sidecar with
+// two processes are not checked, as it is unknown which process sent them.
 func (m *members) checkLeft() {
 	byParty := map[int32][]*member{}
 	for _, p := range m.all {
@@ -272,18 +276,20 @@
 		}
 		k := slices.IndexFunc(only.reports, func(s statusReport) bool { return s.left })
 		if k >= 0 && e.T > only.reports[k].receivedAt+socketSlack {
-			m.breach(QuotaSum, e.T, e.Request, []int{i}, "%s sends to servers %.0f ms after it has left", m.name(e.Sidecar),
+			m.breach(QuotaSum, e.T, e.Request, []int{i}, "%s sent an attempt to a server %.0f ms after it reported that it left", m.name(e.Sidecar),
 				ms(e.T-only.reports[k].receivedAt))
 		}
 	}
 }
 
+// memberID identifies a process as other processes do.
 type memberID struct {
 	name  string
 	start int64
 }
 
-// lastAliveReports gives the last moment at which each process is known to be alive, and its SIGTERM.
+// lastAliveReports returns for each process the request time of its last status report, when it was certainly alive.
+// receivedAt holds the time of its SIGTERM.
 func (m *members) lastAliveReports() map[memberID]statusReport {
 	out := map[memberID]statusReport{}
 	for _, p := range m.all {
@@ -297,6 +303,7 @@
 	return out
 }
 
+// name returns the name of a sidecar or replica, or an empty string if it has none.
 func (m *members) name(party int32) string {
 	if int(party) < len(m.facts.Names) {
 		return m.facts.Names[party]
@@ -304,7 +311,7 @@
 	return ""
 }
 
-// checkNotGone looks for processes that were reported as proved gone and were alive.
+// checkNotGone checks that no process was reported as proved gone while it was alive and had no SIGTERM.
 func (m *members) checkNotGone() {
 	lastAlive := m.lastAliveReports()
 	for i := range m.events {
@@ -318,13 +325,13 @@
 			if state != Gone || !known || alive.requestedAt < e.T || e.T >= alive.receivedAt || m.duringFalseRefusal(e.T) {
 				continue
 			}
-			m.breach(NotGone, e.T, 0, []int{i}, "%s says that %s, started at %d, is proved gone (%s), and it lives %.1f s later",
+			m.breach(NotGone, e.T, 0, []int{i}, "%s reported %s, started at %d, as proved gone (%s), but it was alive %.1f s later",
 				m.name(e.Sidecar), name, e.N, proof, (alive.requestedAt - e.T).Seconds())
 		}
 	}
 }
 
-// ParseMemberNote reads the note of a MemberStatus event.
+// ParseMemberNote splits the note of a MemberStatus event. Parts that are missing are empty.
 func ParseMemberNote(note string) (state, name, proof string) {
 	parts := strings.SplitN(note, " ", 3)
 	for len(parts) < 3 {
--- a/internal/lab/invariant/members_test.go
+++ b/internal/lab/invariant/members_test.go
@@ -9,7 +9,8 @@
 	"marblelane/internal/lab/record"
 )
 
-// status is an answer of a process, of the party of its number, that took 10 ms.
+// status is the status report of a process, 10 ms after its request. The process belongs to the sidecar or replica of
+// the same number.
 func status(at int, serial uint64, estimate float64, admitted bool) record.Event {
 	return record.Event{T: millis(at), Kind: record.MembershipStatus, Sidecar: int32(serial), Sum: serial, Want: uint64(10 * time.Millisecond),
 		N: int64(serial), Work: estimate, Canary: admitted, Server: 2}
@@ -24,7 +25,7 @@
 	return record.Event{T: millis(at), Kind: record.MemberStatus, Sidecar: int32(by), Sum: by, N: start, Note: note}
 }
 
-// Each rule of membership finds its breach, and none in events that only resemble one.
+// Each rule of membership detects its breach, and reports none for similar events without a breach.
 func TestCheckMembers_rules(t *testing.T) {
 	half := func(at int, serial uint64) record.Event { return status(at, serial, 2, true) }
 	leaves := record.Event{T: millis(150), Kind: record.MemberProcess, Sidecar: record.None, Sum: 1, Note: MemberLeaves}
@@ -47,28 +48,28 @@
 		events []record.Event
 		broken string // empty: none
 	}{
-		"two halves":                        {[]record.Event{half(100, 0), half(100, 1), half(200, 0), half(200, 1)}, ""},
-		"three halves":                      {three(half(105, 2), half(205, 2)), QuotaSum},
-		"the third is not admitted":         {three(status(105, 2, 2, false), status(205, 2, 2, false)), ""},
-		"it is admitted meanwhile":          {three(status(105, 2, 2, false), status(205, 2, 2, true)), ""},
-		"it believes more at once":          {three(status(105, 2, 2, true), status(205, 2, 1e9, true)), ""},
-		"it was told nothing yet":           {three(status(105, 2, 0, true), status(205, 2, 0, true)), QuotaSum},
-		"it was let in by its time":         {[]record.Event{status(100, 0, 2, true), forced(status(100, 1, 1.3, true)), status(200, 0, 2, true), forced(status(200, 1, 1.3, true))}, ""},
-		"let in, and more than its part":    {[]record.Event{status(100, 0, 1, true), forced(status(100, 1, 1, true)), status(200, 0, 1, true), forced(status(200, 1, 1, true))}, QuotaSum},
-		"it has left":                       {three(left(105, 2), left(205, 2)), ""},
-		"it sends after it has left":        {append(three(left(105, 2), left(205, 2)), sends), QuotaSum},
-		"the next process sends":            {append(three(left(105, 2), left(205, 2)), serves, sends), ""},
-		"a second process of one":           {three(old, later), ""},
-		"a copy of the list service":        {append([]record.Event{ofList}, half(100, 0), half(100, 1), half(200, 0), half(200, 1)), ""},
-		"while a proof is false":            {[]record.Event{half(1100, 0), half(1100, 1), half(1100, 2), half(1200, 0), half(1200, 1), half(1200, 2)}, ""},
-		"after it answered for the last":    {[]record.Event{half(100, 1), memberStatus(95, 0, "gone n1 refused", 1)}, ""},
-		"said to be gone, and answers":      {[]record.Event{half(100, 1), memberStatus(150, 0, "gone n1 refused", 1), half(200, 1)}, NotGone},
-		"the answer was on its way":         {[]record.Event{half(100, 1), memberStatus(195, 0, "gone n1 refused", 1), half(200, 1)}, ""},
-		"silent only":                       {[]record.Event{half(100, 1), memberStatus(150, 0, "silent n1", 1), half(200, 1)}, ""},
-		"another start":                     {[]record.Event{half(100, 1), memberStatus(150, 0, "gone n1 replaced", 0), half(200, 1)}, ""},
-		"it was told to end":                {[]record.Event{half(100, 1), leaves, memberStatus(150, 0, "gone n1 left", 1), half(200, 1)}, ""},
-		"gone by a proof that is false":     {[]record.Event{half(1100, 1), memberStatus(1150, 0, "gone n1 refused", 1), half(1200, 1)}, ""},
-		"of somebody who never said a word": {[]record.Event{memberStatus(150, 0, "gone n9 left", 9)}, ""},
+		"two halves":                                 {[]record.Event{half(100, 0), half(100, 1), half(200, 0), half(200, 1)}, ""},
+		"three halves":                               {three(half(105, 2), half(205, 2)), QuotaSum},
+		"the third is not admitted":                  {three(status(105, 2, 2, false), status(205, 2, 2, false)), ""},
+		"it is admitted meanwhile":                   {three(status(105, 2, 2, false), status(205, 2, 2, true)), ""},
+		"its estimate grows meanwhile":               {three(status(105, 2, 2, true), status(205, 2, 1e9, true)), ""},
+		"it has no estimate yet":                     {three(status(105, 2, 0, true), status(205, 2, 0, true)), QuotaSum},
+		"admitted by timeout":                        {[]record.Event{status(100, 0, 2, true), forced(status(100, 1, 1.3, true)), status(200, 0, 2, true), forced(status(200, 1, 1.3, true))}, ""},
+		"admitted by timeout, above its quota":       {[]record.Event{status(100, 0, 1, true), forced(status(100, 1, 1, true)), status(200, 0, 1, true), forced(status(200, 1, 1, true))}, QuotaSum},
+		"it has left":                                {three(left(105, 2), left(205, 2)), ""},
+		"it sends after it has left":                 {append(three(left(105, 2), left(205, 2)), sends), QuotaSum},
+		"the next process sends":                     {append(three(left(105, 2), left(205, 2)), serves, sends), ""},
+		"a second process of a sidecar":              {three(old, later), ""},
+		"a replica of the list service":              {append([]record.Event{ofList}, half(100, 0), half(100, 1), half(200, 0), half(200, 1)), ""},
+		"during a false refusal":                     {[]record.Event{half(1100, 0), half(1100, 1), half(1100, 2), half(1200, 0), half(1200, 1), half(1200, 2)}, ""},
+		"gone after its last report":                 {[]record.Event{half(100, 1), memberStatus(95, 0, "gone n1 refused", 1)}, ""},
+		"reported as gone, and alive":                {[]record.Event{half(100, 1), memberStatus(150, 0, "gone n1 refused", 1), half(200, 1)}, NotGone},
+		"reported as gone before a response arrives": {[]record.Event{half(100, 1), memberStatus(195, 0, "gone n1 refused", 1), half(200, 1)}, ""},
+		"reported as silent only":                    {[]record.Event{half(100, 1), memberStatus(150, 0, "silent n1", 1), half(200, 1)}, ""},
+		"another start":                              {[]record.Event{half(100, 1), memberStatus(150, 0, "gone n1 replaced", 0), half(200, 1)}, ""},
+		"reported as gone after SIGTERM":             {[]record.Event{half(100, 1), leaves, memberStatus(150, 0, "gone n1 left", 1), half(200, 1)}, ""},
+		"gone by a false refusal":                    {[]record.Event{half(1100, 1), memberStatus(1150, 0, "gone n1 refused", 1), half(1200, 1)}, ""},
+		"an unknown process":                         {[]record.Event{memberStatus(150, 0, "gone n9 left", 9)}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := &Verdict{Counts: map[string]int{}, Checked: map[string]int{}}
--- a/internal/lab/invariant/ready.go
+++ b/internal/lab/invariant/ready.go
@@ -6,18 +6,19 @@
 	"marblelane/internal/lab/record"
 )
 
-// restartsPerLateOne is for how many restarted processes one may be late to be ready.
+// restartsPerLateOne is the number of restarted processes of which one may be ready late.
 const restartsPerLateOne = 10
 
-// minReadyTime is the least time that a process has which is not ready when the run ends.
+// minReadyTime is how long a process that is not ready at the end of the run may have been starting without being late,
+// unless ReadyWithin is shorter.
 const minReadyTime = 6 * time.Second
 
-// checkReady checks that nine in ten restarted processes are ready in time.
+// checkReady checks that nine of ten restarted processes are ready in time.
 func (c *checker) checkReady() {
 	if c.facts.ReadyWithin == 0 {
 		return
 	}
-	starting := map[int32]time.Duration{} // restarted processes that are not ready yet
+	starting := map[int32]time.Duration{} // start of each restarted process that is not ready yet
 	startedBefore := map[int32]bool{}
 	var late []record.Event
 	recordIfLate := func(e record.Event, limit time.Duration) {
@@ -48,7 +49,7 @@
 		recordIfLate(record.Event{T: end, Sidecar: sidecar}, min(c.facts.ReadyWithin, minReadyTime))
 	}
 	if all := c.verdict.Checked[ReadyInTime]; len(late)*restartsPerLateOne > all {
-		c.breach(ReadyInTime, late[0].T, 0, nil, "%d of %d copies that were started again were not ready within %v, sidecar %d first",
+		c.breach(ReadyInTime, late[0].T, 0, nil, "%d of %d restarted processes were not ready within %v, first of sidecar %d",
 			len(late), all, c.facts.ReadyWithin, late[0].Sidecar)
 	}
 }
--- a/internal/lab/invariant/ready_test.go
+++ b/internal/lab/invariant/ready_test.go
@@ -8,11 +8,11 @@
 	"marblelane/internal/lab/record"
 )
 
-// One in ten restarted processes may be late to be ready; a first start is not counted.
+// One of ten restarted processes may be ready late. The first start of a process is not counted.
 func TestReadyInTime(t *testing.T) {
 	for name, c := range map[string]struct {
-		first, again time.Duration // that a copy takes; negative: it is not ready when the run ends
-		late, all    int           // copies that take so long when they are started again, of so many
+		first, again time.Duration // time until a process is ready; negative: not ready at the end of the run
+		late, all    int           // number of processes that take this long when restarted, and of all
 		end          time.Duration
 		broken       bool
 	}{
@@ -45,7 +45,7 @@
 		slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.T - b.T) })
 		got := Check(events, Facts{ReadyWithin: 10 * time.Second}).Broken()
 		if slices.Contains(got, ReadyInTime) != c.broken {
-			t.Errorf("%s: broken are %v", name, got)
+			t.Errorf("%s: broken rules %v, want %s broken %v", name, got, ReadyInTime, c.broken)
 		}
 	}
 }
--- a/internal/lab/invariant/routes.go
+++ b/internal/lab/invariant/routes.go
@@ -9,60 +9,62 @@
 	"marblelane/internal/lab/record"
 )
 
-// The rules of routes and rollouts (docs/routes.md).
+// The names of the invariants of routes and rollouts (docs/routes.md).
 const (
-	Budget        = "budget"         // servers see no more failures of a rollout's canary than its budget
-	RevClosed     = "closed"         // no attempt under a revision that the list service has reported as closed
-	AuditTrue     = "audit-true"     // no "did not" of a process that did, no "did" of one that did not
-	RollbackFinal = "rollback-final" // a rollout that is rolled back stays so
-	RouteFree     = "route-free"     // a canary gets requests only of its tenant and its classes, at its servers
+	Budget        = "budget"         // a rollout's canary has no more failures at servers than its budget
+	RevClosed     = "closed"         // no attempt is sent under a revision that the list service has reported as closed
+	AuditTrue     = "audit-true"     // the audit reports that a process acted, or did not act, only if that is so
+	RollbackFinal = "rollback-final" // a rollout that was rolled back stays rolled back
+	RouteFree     = "route-free"     // a canary gets only requests of its rollout's tenant and classes, at its servers
 )
 
-// Routes is what the attempts of a run with rollouts are checked against.
+// Routes are the settings and faults that a run with rollouts is checked against.
 type Routes struct {
-	Rollouts     []Rollout     // by their number in the plan
-	AuditResults []AuditResult // of the audit
-	// Latency is the most that a link adds, one way.
+	Rollouts     []Rollout     // by number in the plan
+	AuditResults []AuditResult // results of audit queries
+	// Latency is the longest one-way delay that a link adds.
 	Latency time.Duration
-	// LinkFaults are times in which links or servers have faults: what was sent may arrive late, or never.
+	// LinkFaults are periods in which links or servers have faults: what was sent may arrive late or never.
 	LinkFaults []Span
-	// LabStalls are times in which the lab itself stalled: servers may have received what came then only after them.
+	// LabStalls are periods in which the lab itself stalled: its servers may record what arrived then only afterwards.
 	LabStalls []Span
-	// Epoch is the wall clock at the run's beginning, Unix ns: processes are named by when they started.
+	// Epoch is the wall clock time at the start of the run in Unix nanoseconds. Processes are identified by their start.
 	Epoch int64
-	Names []string // of sidecars
+	Names []string // names of the sidecars
 }
 
-// Rollout is what one rollout may do.
+// Rollout is what one rollout may do, and how it ended.
 type Rollout struct {
 	Name    string
 	Tenant  int
-	Classes []bool // that may go to the canary, by class
-	Servers []bool // of the canary
-	Budget  int64  // 0: none
-	// LatencyObjectives are the times after which an answer is a failure, by class; nil: none is.
+	Classes []bool // whether requests of a class may go to the canary, by class
+	Servers []bool // whether a server belongs to the canary, by server
+	Budget  int64  // failures allowed; 0 means no budget
+	// LatencyObjectives are the times after which a response is a failure, by class. nil means that late responses are no
+	// failures.
 	LatencyObjectives []time.Duration
-	// After is the newest revision that was known before the rollout was posted: all of its own are later.
+	// After is the newest revision known before the rollout was posted, so that all of its own are later. It is negative
+	// for a rollout that was not posted.
 	After int64
-	// Final is its phase as the leader had it at the end of the run; empty: unknown.
+	// Final is its phase at the leader at the end of the run, or empty if it is unknown.
 	Final string
 }
 
-// Span is a time in which something held.
+// Span is a period of a run, both ends included.
 type Span struct{ From, To time.Duration }
 
-// AuditResult is the audit's answer for one process: whether it acted on a revision between two times.
+// AuditResult is the verdict of the audit whether a process acted on a revision between two times.
 type AuditResult struct {
 	Rev       int64
 	From, To  time.Duration
 	QueriedAt time.Duration
 	Name      string
-	Start     int64 // of the process, Unix ns
+	Start     int64 // start of the process, in Unix nanoseconds
 	Verdict   audit.Verdict
 	Reason    string
 }
 
-// processLifetime is that of one process of a sidecar.
+// processLifetime is the period in which a process of a sidecar was alive.
 type processLifetime struct{ from, to time.Duration }
 
 // routes checks all rules of rollouts.
@@ -70,13 +72,14 @@
 	*checker
 	facts *Routes
 
-	attempts    []int // FirstByte events with a revision
-	lifetimes   map[int32][]processLifetime
-	endRevision map[int]int64 // by rollout: the revision at which it was over
-	rolledBack  map[int]bool
-	endedAt     map[int]time.Duration // when it was first reported to be over
+	attempts    []int                       // indices of the FirstByte events with a revision or to a canary
+	lifetimes   map[int32][]processLifetime // by sidecar, ordered by start
+	endRevision map[int]int64               // revision at which a rollout was over, by rollout
+	rolledBack  map[int]bool                // whether that was a rollback, by rollout
+	endedAt     map[int]time.Duration       // when a rollout was first reported to be over, by rollout
 }
 
+// checkRoutes checks all rules of rollouts, if the run has rollouts.
 func (c *checker) checkRoutes() {
 	if c.facts.Routes == nil {
 		return
@@ -104,20 +107,22 @@
 	}
 }
 
+// isOver reports whether a rollout in this phase has ended.
 func isOver(phase string) bool {
 	return phase == "done" || phase == "rolled-back" || phase == "stopped"
 }
 
+// recordProcess records the start or end of a sidecar's process.
 func (r *routes) recordProcess(e *record.Event) {
 	all := r.lifetimes[e.Sidecar]
 	switch e.Note {
 	case Started:
 		r.lifetimes[e.Sidecar] = append(all, processLifetime{e.T, forever})
 	case Ended, Crashed, Killed:
-		// The oldest that is alive: at an upgrade that is the one which ends.
+		// The oldest process that is alive ends: in an upgrade that is the one that is replaced.
 		for i := range all {
 			if all[i].to == forever {
-				if e.Note != Killed { // Ended follows
+				if e.Note != Killed { // an Ended event follows
 					all[i].to = e.T
 				}
 				return
@@ -126,15 +131,16 @@
 	}
 }
 
-// maxDelay is by how much an attempt may be observed later than it began.
+// maxDelay returns the longest time from the start of an attempt until a server records it.
 func (r *routes) maxDelay() time.Duration { return socketSlack + 2*r.facts.Latency }
 
+// faultBetween reports whether links or servers had a fault, or the lab stalled, between two times.
 func (r *routes) faultBetween(from, to time.Duration) bool {
 	meets := func(s Span) bool { return s.From <= to && from <= s.To }
 	return slices.ContainsFunc(r.facts.LinkFaults, meets) || slices.ContainsFunc(r.facts.LabStalls, meets)
 }
 
-// checkClosed checks each attempt against the revisions that were reported as closed before it arrived.
+// checkClosed checks that no attempt is sent under a revision after the list service reported it as closed.
 func (r *routes) checkClosed() {
 	type closedReport struct {
 		rev int64
@@ -149,7 +155,7 @@
 	for _, i := range r.attempts {
 		e := &r.events[i]
 		if e.Rev == 0 {
-			continue // without a lease, under the bases alone: see checkRouteFree
+			continue // sent without a lease, to base servers only: see checkRouteFree
 		}
 		k, _ := slices.BinarySearchFunc(closedReports, e.Rev, func(s closedReport, rev int64) int { return cmp.Compare(s.rev, rev) })
 		if k == len(closedReports) {
@@ -158,13 +164,14 @@
 		r.verdict.Checked[RevClosed]++
 		if limit := closedReports[k].at + r.maxDelay(); e.T > limit && !r.faultBetween(limit, e.T) {
 			r.breach(RevClosed, e.T, e.Request, r.byID[e.Request],
-				"sidecar %d sent to server %d under routes %d, %.0f ms after the list service had said that %d is closed",
+				"sidecar %d sent an attempt to server %d under revision %d, %.0f ms after the list service reported revision %d as closed",
 				e.Sidecar, e.Server, e.Rev, ms(e.T-closedReports[k].at), closedReports[k].rev)
 		}
 	}
 }
 
-// rolloutOf finds whose canary an attempt was to: the last rolloutOf of its tenant that can have had this revision.
+// rolloutOf returns the number of the rollout whose canary an attempt went to, or -1 if there is none. It is the last
+// rollout of the attempt's tenant that can have had its revision.
 func (r *routes) rolloutOf(e *record.Event) int {
 	best := -1
 	for n := range r.facts.Rollouts {
@@ -176,29 +183,30 @@
 	return best
 }
 
+// attemptKey identifies an attempt in the events of its server.
 type attemptKey struct {
 	request uint64
 	server  int32
 	conn    int16
 }
 
-// outcome is what servers saw of one attempt to a canary.
+// outcome is the state of one attempt to a canary, from the events of its server.
 type outcome struct {
-	first    int  // the event of its first byte
-	complete bool // its last byte arrived, too: it does not move to another connection any more
+	first    int  // index of the event of its first byte
+	complete bool // its last byte arrived: it is not sent again on another connection
 	ended    bool
 }
 
-// failures are the attempts to each canary that ended as a failure while the client still waited: by rollout, as indexes
-// of their first bytes. ended counts all attempts that ended. A failure is
+// failures returns, by rollout, the attempts to its canary that ended as a failure while the client still waited, as
+// indices of their FirstByte events. ended counts all attempts that ended. A failure is
 //
-//   - an answer of 500 and above, a late one where those are failures, and one that turns the attempt away,
-//   - no answer: the server hung, dropped it, reset the connection or ended, and whichever side it was that closed, it
-//     closed before one.
+//   - a response with a status of 500 or above, a late response if the rollout has latency objectives, or a rejection,
+//   - no response: the server hung, dropped the request, reset the connection or ended, and the connection was closed by
+//     either side before a response.
 //
-// Each of them costs the sidecar a unit, so it must have counted them, except: what ends together with its sidecar, or is
-// in flight as the run ends; what ends as the client leaves, or just before, as the sidecar may observe that first; and an
-// answer that the server has written and the link has lost.
+// Each failure costs the sidecar a unit, so the sidecar must have counted it, with these exceptions: an attempt that
+// ends together with its sidecar or is in flight at the end of the run; an attempt that ends when the client disconnects
+// or just before, as the sidecar may observe the client first; and a response that the server wrote and the link lost.
 func (r *routes) failures() (failed [][]int, ended []int) {
 	failed, ended = make([][]int, len(r.facts.Rollouts)), make([]int, len(r.facts.Rollouts))
 	outcomes := map[attemptKey]*outcome{}
@@ -253,12 +261,12 @@
 	return failed, ended
 }
 
-// alive reports whether no process of a sidecar ended within a time.
+// alive reports whether no process of a sidecar ended between two times.
 func (r *routes) alive(sidecar int32, from, to time.Duration) bool {
 	return !slices.ContainsFunc(r.lifetimes[sidecar], func(l processLifetime) bool { return l.to >= from && l.to <= to })
 }
 
-// checkBudget checks the failures of each canary against its budget.
+// checkBudget checks the failures of each canary against its rollout's budget.
 func (r *routes) checkBudget() {
 	failed, ended := r.failures()
 	for n, all := range failed {
@@ -271,12 +279,12 @@
 		if int64(len(all)) > o.Budget {
 			first := &r.events[all[o.Budget]]
 			r.breach(Budget, first.T, first.Request, r.byID[first.Request],
-				"rollout %s has cost %d failures, its budget is %d; this is the first beyond", o.Name, len(all), o.Budget)
+				"rollout %s had %d failures, its budget is %d; this is the first failure beyond the budget", o.Name, len(all), o.Budget)
 		}
 	}
 }
 
-// checkRollbacks checks what is reported of rollouts after the first report that one is rolled back.
+// checkRollbacks checks that a rollout has no other phase, and no fraction, after it was reported as rolled back.
 func (r *routes) checkRollbacks() {
 	for i := range r.events {
 		e := &r.events[i]
@@ -284,13 +292,13 @@
 		switch e.Kind {
 		case record.RolloutPhase:
 			if e.N < 0 {
-				r.breach(Budget, e.T, 0, nil, "the ledger of rollout %s has given out %d units more than its budget", r.facts.Rollouts[n].Name, -e.N)
+				r.breach(Budget, e.T, 0, nil, "the ledger of rollout %s granted %d units more than its budget", r.facts.Rollouts[n].Name, -e.N)
 			}
 			// A lagging replica reports an earlier state; a later revision is a breach.
 			if r.rolledBack[n] && e.T >= r.endedAt[n] {
 				r.verdict.Checked[RollbackFinal]++
 				if e.Rev >= r.endRevision[n] && e.Note != "rolled-back" {
-					r.breach(RollbackFinal, e.T, 0, nil, "rollout %s is said to be %s at revision %d, it was rolled back at %d",
+					r.breach(RollbackFinal, e.T, 0, nil, "rollout %s is reported as %s at revision %d, but was rolled back at revision %d",
 						r.facts.Rollouts[n].Name, e.Note, e.Rev, r.endRevision[n])
 				}
 			}
@@ -298,7 +306,7 @@
 			if r.rolledBack[n] && e.Rev >= r.endRevision[n] {
 				r.verdict.Checked[RollbackFinal]++
 				if e.Work > 0 {
-					r.breach(RollbackFinal, e.T, 0, nil, "rollout %s has a share of %g at revision %d, it was rolled back at %d",
+					r.breach(RollbackFinal, e.T, 0, nil, "rollout %s has a fraction of %g at revision %d, but was rolled back at revision %d",
 						r.facts.Rollouts[n].Name, e.Work, e.Rev, r.endRevision[n])
 				}
 			}
@@ -308,7 +316,7 @@
 		if r.rolledBack[n] && o.Final != "" {
 			r.verdict.Checked[RollbackFinal]++
 			if o.Final != "rolled-back" {
-				r.breach(RollbackFinal, r.endedAt[n], 0, nil, "rollout %s was rolled back at revision %d, and is %s in the end", o.Name, r.endRevision[n], o.Final)
+				r.breach(RollbackFinal, r.endedAt[n], 0, nil, "rollout %s was rolled back at revision %d, but is %s at the end of the run", o.Name, r.endRevision[n], o.Final)
 			}
 		}
 	}
@@ -327,31 +335,31 @@
 			r.breach(rule, e.T, e.Request, r.byID[e.Request], format, args...)
 		}
 		if n < 0 {
-			breachAttempt(RouteFree, "an attempt to a canary under routes %d, though its tenant, number %d, had no rollout by then", e.Rev, e.Tenant)
+			breachAttempt(RouteFree, "attempt to a canary under revision %d, at which tenant %d had no rollout", e.Rev, e.Tenant)
 			continue
 		}
 		o := &r.facts.Rollouts[n]
 		end, over := r.endRevision[n]
 		switch {
 		case over && e.Rev >= end && r.rolledBack[n]:
-			breachAttempt(RollbackFinal, "an attempt to the canary of rollout %s under routes %d; it was rolled back at %d", o.Name, e.Rev, end)
+			breachAttempt(RollbackFinal, "attempt to the canary of rollout %s under revision %d, but the rollout was rolled back at revision %d", o.Name, e.Rev, end)
 		case over && e.Rev >= end:
-			breachAttempt(RouteFree, "an attempt to the canary of rollout %s under routes %d; it was over at %d", o.Name, e.Rev, end)
+			breachAttempt(RouteFree, "attempt to the canary of rollout %s under revision %d, but the rollout was over at revision %d", o.Name, e.Rev, end)
 		case e.Class >= 0 && !o.Classes[e.Class]:
-			breachAttempt(RouteFree, "an attempt to the canary of rollout %s of a class that it leaves out", o.Name)
+			breachAttempt(RouteFree, "attempt to the canary of rollout %s with a class that the rollout excludes", o.Name)
 		case !o.Servers[e.Server]:
-			breachAttempt(RouteFree, "an attempt to the canary of rollout %s at server %d, which is not in it", o.Name, e.Server)
+			breachAttempt(RouteFree, "attempt to the canary of rollout %s at server %d, which is not in the canary", o.Name, e.Server)
 		}
 	}
 }
 
-// checkAudit checks each answer of the audit against what servers received.
+// checkAudit checks each verdict of the audit against what servers received.
 func (r *routes) checkAudit() {
 	type sidecarRevision struct {
 		sidecar int32
 		rev     int64
 	}
-	attemptTimes := map[sidecarRevision][]time.Duration{} // by time
+	attemptTimes := map[sidecarRevision][]time.Duration{} // each list ordered by time
 	for _, i := range r.attempts {
 		e := &r.events[i]
 		if e.Rev > 0 {
@@ -364,13 +372,13 @@
 		at := time.Duration(a.Start - r.facts.Epoch)
 		lifetimes := r.lifetimes[sidecar]
 		k := -1
-		for i := range lifetimes { // the process began to count after it was started
+		for i := range lifetimes { // a process identifies itself by a time after the lab started it
 			if lifetimes[i].from <= at {
 				k = i
 			}
 		}
 		if sidecar < 0 || k < 0 {
-			r.breach(AuditTrue, a.QueriedAt, 0, nil, "the audit answers for a process %s/%d that never was", a.Name, a.Start)
+			r.breach(AuditTrue, a.QueriedAt, 0, nil, "the audit returned a verdict on process %s/%d, which never ran", a.Name, a.Start)
 			continue
 		}
 		attempts := attemptTimes[sidecarRevision{sidecar, a.Rev}]
@@ -379,28 +387,28 @@
 		}
 		switch a.Verdict {
 		case audit.DidNotAct:
-			// Not before the start of the window: what arrives just after it may have begun before it.
+			// What arrives just after the start of the window may have been sent before it.
 			for _, t := range attempts {
 				if t < a.From+r.maxDelay() || t > a.To || !onlyProcess(lifetimes, k, t-r.maxDelay(), t) {
 					continue
 				}
-				r.breach(AuditTrue, a.QueriedAt, 0, nil, "the audit says that %s/%d did not act on %d between %.0f and %.0f ms (%s); a server saw an attempt of its at %.1f ms",
+				r.breach(AuditTrue, a.QueriedAt, 0, nil, "the audit reports that %s/%d did not act on revision %d between %.0f and %.0f ms (%s), but a server received its attempt at %.1f ms",
 					a.Name, a.Start, a.Rev, ms(a.From), ms(a.To), a.Reason, ms(t))
 				break
 			}
 		case audit.Acted:
 			if r.faultBetween(a.From, a.To) {
-				continue // an attempt that began may have reached no server
+				continue // an attempt may have been sent and reached no server
 			}
 			if !slices.ContainsFunc(attempts, func(t time.Duration) bool { return t >= a.From-socketSlack && t <= a.To+r.maxDelay() }) {
-				r.breach(AuditTrue, a.QueriedAt, 0, nil, "the audit says that %s/%d acted on %d between %.0f and %.0f ms (%s); no server saw it",
+				r.breach(AuditTrue, a.QueriedAt, 0, nil, "the audit reports that %s/%d acted on revision %d between %.0f and %.0f ms (%s), but no server received an attempt",
 					a.Name, a.Start, a.Rev, ms(a.From), ms(a.To), a.Reason)
 			}
 		}
 	}
 }
 
-// onlyProcess reports whether of a sidecar's processes only this one was alive in a time.
+// onlyProcess reports whether process k was the only process of its sidecar that was alive between two times.
 func onlyProcess(lifetimes []processLifetime, k int, from, to time.Duration) bool {
 	for i, l := range lifetimes {
 		if meets := l.from <= to && from <= l.to; meets != (i == k) {
--- a/internal/lab/invariant/routes_test.go
+++ b/internal/lab/invariant/routes_test.go
@@ -10,7 +10,7 @@
 	"marblelane/internal/lab/record"
 )
 
-// attemptAt is an attempt that a server received at a time, to a canary, under a revision.
+// attemptAt is an attempt to a canary under a revision, at the time when the server received it.
 func attemptAt(at int, id uint64, rev int64) record.Event {
 	return record.Event{T: millis(at), Kind: record.FirstByte, Request: id, Server: 1, Attempt: 1, Rev: rev, Canary: true}
 }
@@ -35,7 +35,7 @@
 	return record.Event{T: millis(at), Kind: record.RevisionClosed, Sidecar: record.None, Class: record.None, Rev: rev}
 }
 
-// Each rule of rollouts finds its breach, and none in events that only resemble one.
+// Each rule of rollouts detects its breach, and reports none for similar events without a breach.
 func TestCheckRoutes_rules(t *testing.T) {
 	const at = 1000
 	other := attemptAt(at, 1, 20)
@@ -48,7 +48,7 @@
 	base.Canary = false
 	turned := record.Event{T: millis(at + 1), Kind: record.Rejected, Request: 2, Server: 1, Attempt: 1, Status: 503, Class: record.None}
 	gaveUp := record.Event{T: millis(at + 1), Kind: record.ClientLeft, Request: 2, Class: record.None, Server: record.None}
-	// The second attempt ends without an answer: its server hung until it was closed, or reset it.
+	// The second attempt ends without a response: its server hung until the connection was closed, or reset it.
 	hung := func(between ...record.Event) []record.Event {
 		all := append([]record.Event{process(0, Started), process(1, Serving), attemptAt(at, 1, 20), replied(at+1, 1, 500), attemptAt(at, 2, 20)},
 			between...)
@@ -68,38 +68,38 @@
 	}{
 		"within the budget":                {[]record.Event{attemptAt(at, 1, 20), replied(at+1, 1, 500)}, ""},
 		"over the budget":                  {two(), Budget},
-		"the second was turned away":       {two(turned), Budget},
-		"the second had no answer":         {hung(received), Budget},
-		"nor had its client in its time":   {hung(received, client(at+350, record.Overdue)), Budget},
+		"the second was rejected":          {two(turned), Budget},
+		"the second had no response":       {hung(received), Budget},
+		"no response in its client's time": {hung(received, client(at+350, record.Overdue)), Budget},
 		"it was not received completely":   {hung(), ""},
 		"its client had left":              {hung(received, client(at+300, record.ClientLeft)), ""},
 		"its client left at the same time": {append(hung(received), client(at+401, record.ClientLeft)), ""},
 		"its client left long after":       {append(hung(received), client(at+600, record.ClientLeft)), Budget},
 		"its sidecar ended":                {append(hung(received, process(at+399, Killed)), process(at+402, Ended)), ""},
 		"its sidecar ended long after":     {append(hung(received), process(at+900, Killed), process(at+900, Ended)), Budget},
-		"it is out yet":                    {hung(received)[:6], ""},
+		"it is still in flight":            {hung(received)[:6], ""},
 		"the second client had left":       {two(gaveUp), ""},
-		"late answers are failures":        {[]record.Event{attemptAt(at, 1, 20), replied(at+101, 1, 200), attemptAt(at, 2, 20), replied(at+101, 2, 200)}, Budget},
-		"good ones are none":               {[]record.Event{attemptAt(at, 1, 20), replied(at+99, 1, 200), attemptAt(at, 2, 20), replied(at+99, 2, 200)}, ""},
+		"late responses are failures":      {[]record.Event{attemptAt(at, 1, 20), replied(at+101, 1, 200), attemptAt(at, 2, 20), replied(at+101, 2, 200)}, Budget},
+		"timely responses are none":        {[]record.Event{attemptAt(at, 1, 20), replied(at+99, 1, 200), attemptAt(at, 2, 20), replied(at+99, 2, 200)}, ""},
 		"before it is closed":              {[]record.Event{base, revisionClosed(at+500, 20)}, ""},
-		"on its way as it is closed":       {[]record.Event{revisionClosed(at-50, 20), base}, ""},
+		"in flight when it is closed":      {[]record.Event{revisionClosed(at-50, 20), base}, ""},
 		"after it is closed":               {[]record.Event{revisionClosed(at-60, 20), base}, RevClosed},
 		"after a later one is closed":      {[]record.Event{revisionClosed(at-60, 25), base}, RevClosed},
 		"an older one is closed":           {[]record.Event{revisionClosed(at-60, 19), base}, ""},
 		"after it is closed, link cut":     {[]record.Event{revisionClosed(4000, 20), attemptAt(4700, 1, 20)}, ""},
-		"of a class that is left out":      {[]record.Event{other}, RouteFree},
-		"at a server that is not in it":    {[]record.Event{elsewhere}, RouteFree},
-		"of a tenant without one":          {[]record.Event{stranger}, RouteFree},
+		"of an excluded class":             {[]record.Event{other}, RouteFree},
+		"at a server outside the canary":   {[]record.Event{elsewhere}, RouteFree},
+		"of a tenant without a rollout":    {[]record.Event{stranger}, RouteFree},
 		"before it was posted":             {[]record.Event{attemptAt(at, 1, 10)}, RouteFree},
-		"without permission":               {[]record.Event{attemptAt(at, 1, 0)}, RouteFree},
+		"without a lease":                  {[]record.Event{attemptAt(at, 1, 0)}, RouteFree},
 		"after it was done":                {[]record.Event{phase(at-1, 30, "done"), attemptAt(at, 1, 30)}, RouteFree},
 		"after it was rolled back":         {[]record.Event{phase(at-1, 30, "rolled-back"), attemptAt(at, 1, 31)}, RollbackFinal},
 		"under the step before":            {[]record.Event{phase(at-1, 30, "rolled-back"), attemptAt(at, 1, 29)}, ""},
-		"a copy that lags":                 {[]record.Event{phase(at, 30, "rolled-back"), phase(at+1, 29, "running"), fraction(at+1, 29, 0.5)}, ""},
-		"told to run again":                {[]record.Event{phase(at, 30, "rolled-back"), phase(at+1, 31, "running")}, RollbackFinal},
-		"told a share again":               {[]record.Event{phase(at, 30, "rolled-back"), fraction(at+1, 31, 0.5)}, RollbackFinal},
-		"told a share of none":             {[]record.Event{phase(at, 30, "rolled-back"), fraction(at+1, 31, 0)}, ""},
-		"another phase in the end":         {[]record.Event{phase(at, 30, "rolled-back"), {Kind: record.RoutesObserved, Note: "undone"}}, RollbackFinal},
+		"a replica that lags":              {[]record.Event{phase(at, 30, "rolled-back"), phase(at+1, 29, "running"), fraction(at+1, 29, 0.5)}, ""},
+		"reported as running again":        {[]record.Event{phase(at, 30, "rolled-back"), phase(at+1, 31, "running")}, RollbackFinal},
+		"a fraction again":                 {[]record.Event{phase(at, 30, "rolled-back"), fraction(at+1, 31, 0.5)}, RollbackFinal},
+		"a fraction of zero":               {[]record.Event{phase(at, 30, "rolled-back"), fraction(at+1, 31, 0)}, ""},
+		"another phase at the end":         {[]record.Event{phase(at, 30, "rolled-back"), {Kind: record.RoutesObserved, Note: "undone"}}, RollbackFinal},
 		"of a rollout that was not posted": {[]record.Event{}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// The audit's answers are checked against the lifetime of each process, and the window of the query.
+// The verdicts of the audit are checked against the lifetime of each process and the window of the query.
 func TestCheckRoutes_audit(t *testing.T) {
 	const epoch = int64(1e18)
 	// Two processes: the first from 0 to 3 s, the second from 4 s on; attempts under 20 at 1 and 5 s.
@@ -132,17 +132,17 @@
 		a      AuditResult
 		broken bool
 	}{
-		"did":                                 {AuditResult{From: 0, To: millis(3000), Start: first, Verdict: audit.Acted}, false},
-		"did not, and it did":                 {AuditResult{From: 0, To: millis(3000), Start: first, Verdict: audit.DidNotAct}, true},
-		"cannot be known":                     {AuditResult{From: 0, To: millis(3000), Start: first, Verdict: audit.Unknown}, false},
-		"did not, before":                     {AuditResult{From: 0, To: millis(999), Start: first, Verdict: audit.DidNotAct}, false},
-		"did not, and it began before":        {AuditResult{From: millis(990), To: millis(2000), Start: first, Verdict: audit.DidNotAct}, false},
-		"did not, the other life":             {AuditResult{From: millis(4100), To: millis(6000), Start: first, Verdict: audit.DidNotAct}, false},
-		"did not, the second life":            {AuditResult{From: 0, To: millis(6000), Start: second, Verdict: audit.DidNotAct}, true},
-		"did, and none was seen":              {AuditResult{From: millis(1200), To: millis(4800), Start: first, Verdict: audit.Acted}, true},
-		"did, under another":                  {AuditResult{Rev: 21, From: 0, To: millis(3000), Start: first, Verdict: audit.Acted}, true},
-		"did, and what it sent may have gone": {AuditResult{From: millis(7000), To: millis(8000), Start: second, Verdict: audit.Acted}, false},
-		"a process that never was":            {AuditResult{Start: epoch - 1, Verdict: audit.Unknown}, true},
+		"did":                              {AuditResult{From: 0, To: millis(3000), Start: first, Verdict: audit.Acted}, false},
+		"did not, and it did":              {AuditResult{From: 0, To: millis(3000), Start: first, Verdict: audit.DidNotAct}, true},
+		"cannot be known":                  {AuditResult{From: 0, To: millis(3000), Start: first, Verdict: audit.Unknown}, false},
+		"did not, before":                  {AuditResult{From: 0, To: millis(999), Start: first, Verdict: audit.DidNotAct}, false},
+		"did not, and it began before":     {AuditResult{From: millis(990), To: millis(2000), Start: first, Verdict: audit.DidNotAct}, false},
+		"did not, the other process":       {AuditResult{From: millis(4100), To: millis(6000), Start: first, Verdict: audit.DidNotAct}, false},
+		"did not, the second process":      {AuditResult{From: 0, To: millis(6000), Start: second, Verdict: audit.DidNotAct}, true},
+		"did, and no attempt arrived":      {AuditResult{From: millis(1200), To: millis(4800), Start: first, Verdict: audit.Acted}, true},
+		"did, under another revision":      {AuditResult{Rev: 21, From: 0, To: millis(3000), Start: first, Verdict: audit.Acted}, true},
+		"did, and its attempt may be lost": {AuditResult{From: millis(7000), To: millis(8000), Start: second, Verdict: audit.Acted}, false},
+		"a process that never ran":         {AuditResult{Start: epoch - 1, Verdict: audit.Unknown}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.a.Name = "n0"; c.a.Rev == 0 {
--- a/internal/lab/invariant/table.go
+++ b/internal/lab/invariant/table.go
@@ -1,18 +1,16 @@
 package invariant
 
-// This file is the table of all invariants.
-
 // Invariant is a rule that no run may break.
 type Invariant struct {
 	Name string // as in reports and in scenario files
 	Page string // the page that states it
-	// The functions that check it, each on its part of the records. Those of the list service have none: package lab checks
-	// them while it runs.
-	checkRequest func(c *checker, r *requestEvents) // one request
-	unsent       bool                               // checkRequest is also for requests that no client sent
-	checkRun     func(c *checker)                   // the run as a whole
-	checkRoutes  func(r *routes)                    // a run with rollouts
-	checkMembers func(m *members)                   // a run with membership
+	// The functions that check it, each on some of the events. The invariants of the list service have none: package lab
+	// checks them during the run.
+	checkRequest func(c *checker, r *requestEvents) // checks one request
+	unsent       bool                               // checkRequest also runs for requests that no client sent
+	checkRun     func(c *checker)                   // checks the run as a whole
+	checkRoutes  func(r *routes)                    // checks a run with rollouts
+	checkMembers func(m *members)                   // checks a run with membership
 }
 
 // The pages that state invariants.
@@ -22,15 +20,15 @@
 	membershipPage = "docs/membership.md"
 )
 
-// The invariants of the list service.
+// The names of the invariants of the list service.
 const (
-	Linearizable  = "linearizable"   // some order of single steps explains all calls on each entry
-	WatchersAgree = "watchers-agree" // at each revision all watchers have the same list
-	DiskHonest    = "disk-honest"    // a replica whose disk failed writes nothing, reports it, and recovers
-	ListAge       = "age-told"       // no list lacks what was acknowledged before the time that it claims
+	Linearizable  = "linearizable"   // some sequential order of the calls explains the results of all calls on each entry
+	WatchersAgree = "watchers-agree" // all watchers have the same list at each revision
+	DiskHonest    = "disk-honest"    // a replica with a failed disk writes nothing, reports the failure, and recovers
+	ListAge       = "age-told"       // a list has every write acknowledged before the time that the list is stated to be of
 )
 
-// all are the invariants in the order in which they are checked.
+// all lists the invariants in the order in which they are checked.
 var all = []Invariant{
 	{Name: NoUnknownRequest, Page: labPage, checkRequest: (*checker).checkUnknownRequest, unsent: true, checkRun: (*checker).checkUnreadable},
 	{Name: Body, Page: labPage, checkRequest: (*checker).checkBody, unsent: true},
@@ -60,7 +58,7 @@
 	{Name: ListAge, Page: labPage},
 }
 
-// Names lists the names of all invariants.
+// Names returns the names of all invariants, in the order in which they are checked.
 func Names() []string {
 	var names []string
 	for i := range all {
--- a/internal/lab/invariant/table_test.go
+++ b/internal/lab/invariant/table_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Each invariant has a name of its own, a row in docs/lab.md, and a page that exists.
+// Each invariant has a unique name, a row in the table of docs/lab.md, and an existing page.
 func TestInvariants_areDocumented(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
 	table, err := os.ReadFile(filepath.Join(root, labPage))
@@ -22,7 +22,7 @@
 			}
 			seen[invariant.Name] = true
 			if !strings.Contains(string(table), "\n| `"+invariant.Name+"` |") {
-				t.Errorf("%s has no row for it", labPage)
+				t.Errorf("%s has no row for this invariant", labPage)
 			}
 			if _, err := os.Stat(filepath.Join(root, invariant.Page)); err != nil {
 				t.Error(err)
--- a/internal/lab/report/delayed_links.go
+++ b/internal/lab/report/delayed_links.go
@@ -5,7 +5,7 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// delayedLinks are the times in which links between sidecars and servers delay all messages.
+// delayedLinks returns the periods in which a fault of the plan may delay data between sidecars and servers.
 func delayedLinks(p *scenario.Plan) []invariant.DelayedLink {
 	var all []int
 	for i := range p.Sidecars {
--- a/internal/lab/report/members.go
+++ b/internal/lab/report/members.go
@@ -9,44 +9,46 @@
 	"time"
 )
 
-// MembersResult is what members of a run knew of each other. Times are in milliseconds.
+// MembersResult is what the members of a run knew of each other, and how fast.
 type MembersResult struct {
-	Processes     int     `json:"processes"` // that were asked
-	Answers       int     `json:"answers"`
-	MaxQuotaSum   float64 `json:"most_taken"` // the greatest sum of parts; 1 is what the fleet allows
-	MaxQuotaSumAt float64 `json:"taken_at_s"`
-	// Of deaths without a word, for each that lived on: until it took the dead for silent, and until it counted it out.
+	Processes     int     `json:"processes"`  // processes whose status was requested
+	Answers       int     `json:"answers"`    // status reports received
+	MaxQuotaSum   float64 `json:"most_taken"` // greatest sum of the quotas; 1 is the fleet's total
+	MaxQuotaSumAt float64 `json:"taken_at_s"` // time of that sum, in seconds
+	// Deaths are processes that ended without leaving. Noticed and CountedOut are the times from a death until each
+	// remaining process reported the dead one as unreachable, and until it no longer counted it.
 	Deaths     int   `json:"deaths"`
 	Noticed    Times `json:"noticed"`
 	CountedOut Times `json:"counted_out"`
-	Left       Times `json:"left"` // of ends in order: from the signal until it was counted out
-	// FalseSilent are processes that lived and were taken for silent; FalseDeaths are those of them that were neither
-	// frozen nor cut off; FalseGone were said to be proved gone.
+	Left       Times `json:"left"` // from SIGTERM of a process that leaves until another process no longer counted it
+	// FalseSilent counts reports of a running process as unreachable (state "silent"). UnexplainedSilent counts those of
+	// them that no freeze and no cut explains. FalseGone counts reports of a running process as proved gone.
 	FalseSilent       int      `json:"false_silent"`
 	UnexplainedSilent int      `json:"false_deaths"`
 	FalseGone         int      `json:"false_gone"`
-	FalseExamples     []string `json:"false_ones"` // the first of them without such a cause
-	Changes           int      `json:"changes"`    // of what some process counts
-	// AgreeMS is from the last thing that happened until all counted the same; -1: not within the run.
+	FalseExamples     []string `json:"false_ones"` // the first of the unexplained reports
+	Changes           int      `json:"changes"`    // changes of the members that a process counts, over all processes
+	// AgreeMS is the time in ms from the last event that changes the group until all processes counted the same number of
+	// members. -1 means that they did not within the run.
 	AgreeMS        float64 `json:"agree_ms"`
-	JoiningMembers int     `json:"newcomers"`
-	Admitted       Times   `json:"admitted"` // of joining members, from when they served
-	Forced         int     `json:"forced"`   // processes that were let in although somebody did not know them
-	Known          [2]int  `json:"known"`    // the least and the most that a process counted at the end
-	Reachable      [2]int  `json:"heard"`
+	JoiningMembers int     `json:"newcomers"` // processes that joined during the run
+	Admitted       Times   `json:"admitted"`  // from when a joining member served until it was admitted
+	Forced         int     `json:"forced"`    // processes admitted by timeout, although not all members knew them
+	Known          [2]int  `json:"known"`     // least and greatest number of members that a process counted at the end
+	Reachable      [2]int  `json:"heard"`     // least and greatest number of members that a process could reach at the end
 }
 
-// Times is how long something took, over all its cases.
+// Times is the distribution of a duration over all its cases, in milliseconds.
 type Times struct {
 	Cases     int             `json:"cases"`
-	Never     int             `json:"never"` // cases in which it had not come about when the run ended
+	Never     int             `json:"never"` // cases that were not complete at the end of the run
 	P50       float64         `json:"p50_ms"`
 	P99       float64         `json:"p99_ms"`
 	Max       float64         `json:"max_ms"`
-	Durations []time.Duration `json:"-"` // of the cases that came about; sorted by Summarize
+	Durations []time.Duration `json:"-"` // of the complete cases; sorted by Summarize
 }
 
-// Add counts a case; ok is false where it had not come about when the run ended.
+// Add counts a case that took d. ok is false if the case was not complete at the end of the run.
 func (t *Times) Add(d time.Duration, ok bool) {
 	if t.Cases++; !ok {
 		t.Never++
@@ -55,7 +57,7 @@
 	t.Durations = append(t.Durations, d)
 }
 
-// Summarize works out the percentiles of the cases that were added.
+// Summarize computes the percentiles of the cases that were added.
 func (t *Times) Summarize() {
 	slices.Sort(t.Durations)
 	at := func(q float64) float64 {
@@ -67,7 +69,7 @@
 	t.P50, t.P99, t.Max = at(0.5), at(0.99), at(1)
 }
 
-// String is the cases with their percentiles.
+// String returns the number of cases and their percentiles.
 func (t Times) String() string {
 	text := fmt.Sprintf("%d cases, p50 %.0f  p99 %.0f  max %.0f ms", t.Cases, t.P50, t.P99, t.Max)
 	if t.Never > 0 {
@@ -76,14 +78,14 @@
 	return text
 }
 
-// MissedExpectations compares what members knew with what was expected.
+// MissedExpectations returns the expectations of members that the run did not meet.
 func (o *MembersResult) MissedExpectations(e *scenario.Expect) []string {
 	var out []string
 	if o.Answers == 0 {
-		out = append(out, "no process said what it knows of the fleet")
+		out = append(out, "no process reported its membership status")
 	}
 	if e.Members != nil && (o.Known[0] != *e.Members || o.Known[1] != *e.Members) {
-		out = append(out, fmt.Sprintf("members count %d to %d at the end, expected %d", o.Known[0], o.Known[1], *e.Members))
+		out = append(out, fmt.Sprintf("processes count %d to %d members at the end, expected %d", o.Known[0], o.Known[1], *e.Members))
 	}
 	for _, one := range []struct {
 		name string
@@ -97,27 +99,28 @@
 		}
 	}
 	if e.ConvergeWithin != nil && (o.AgreeMS < 0 || o.AgreeMS > e.ConvergeWithin.Milliseconds()) {
-		out = append(out, fmt.Sprintf("members agree after %.0f ms (-1: not within the run), expected at most %v",
+		out = append(out, fmt.Sprintf("processes agree on the members after %.0f ms (-1: not within the run), expected at most %v",
 			o.AgreeMS, e.ConvergeWithin.Duration()))
 	}
 	return out
 }
 
+// print writes the result as lines of text.
 func (o *MembersResult) print(w io.Writer) {
-	fmt.Fprintf(w, "\nmembers       %d processes, %d answers; at the end they count %d to %d, and hear %d to %d\n",
+	fmt.Fprintf(w, "\nmembers       %d processes, %d status reports; at the end each counts %d to %d members and reaches %d to %d\n",
 		o.Processes, o.Answers, o.Known[0], o.Known[1], o.Reachable[0], o.Reachable[1])
-	fmt.Fprintf(w, "parts         at most %.3f of what the fleet allows, at %.1f s; %d let in, though not known to all\n",
+	fmt.Fprintf(w, "parts         at most %.3f of the fleet's total, at %.1f s; %d processes admitted by timeout\n",
 		o.MaxQuotaSum, o.MaxQuotaSumAt, o.Forced)
 	fmt.Fprintf(w, "deaths        %d; noticed %v; counted out %v\n", o.Deaths, o.Noticed, o.CountedOut)
 	if o.Left.Cases > 0 {
 		fmt.Fprintf(w, "left          counted out %v\n", o.Left)
 	}
-	fmt.Fprintf(w, "the living    taken for silent %d times, %d of these without a cut or a freeze; said to be gone %d times\n",
+	fmt.Fprintf(w, "the living    reported as silent %d times, %d of these without a cut or a freeze; reported as gone %d times\n",
 		o.FalseSilent, o.UnexplainedSilent, o.FalseGone)
 	if n := len(o.FalseExamples); n > 0 {
 		fmt.Fprintf(w, "              %s\n", strings.Join(o.FalseExamples[:min(n, MaxRows)], "; "))
 	}
 	fmt.Fprintf(w, "newcomers     %d; admitted %v\n", o.JoiningMembers, o.Admitted)
-	fmt.Fprintf(w, "views         %d changes; all agree %.0f ms after the last thing that happened (-1: not within the run)\n",
+	fmt.Fprintf(w, "views         %d changes; all agree %.0f ms after the last event (-1: not within the run)\n",
 		o.Changes, o.AgreeMS)
 }
--- a/internal/lab/report/outcome.go
+++ b/internal/lab/report/outcome.go
@@ -14,21 +14,21 @@
 	"marblelane/internal/lab/simulate"
 )
 
-// A run does not count when the lab itself was late: the machine was busy, and what parties did at which time is
-// not known well enough to hold it against the sidecars.
+// The limits of the lab's own lateness. A run that exceeds one does not count: the machine was busy, and event times are
+// too inaccurate to judge the sidecars by them.
 const (
 	MaxLatenessP99 = 20 * time.Millisecond
 	MaxLateness    = 400 * time.Millisecond
 )
 
-// The three ends of a run.
+// The outcomes of a run.
 const (
 	Pass = "PASS"
 	Fail = "FAIL"
-	Late = "LATE" // it does not count
+	Late = "LATE" // the lab exceeded its lateness limits, so the run does not count
 )
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Scenario string             `json:"scenario"`
 	Title    string             `json:"title"`
@@ -39,31 +39,33 @@
 	LengthS  float64            `json:"length_s"`
 	Result   *measure.Result    `json:"result"`
 	Verdict  *invariant.Verdict `json:"rules"`
-	Missed   []string           `json:"missed"` // expectations that were not met
+	Missed   []string           `json:"missed"` // expectations that were not met, as sentences
 	Lateness Lateness           `json:"lateness"`
 	Events   int                `json:"events"`
-	Registry *RegistryResult    `json:"registry,omitempty"` // of a run of the registry alone
+	Registry *RegistryResult    `json:"registry,omitempty"` // only of a run of the list service without sidecars
 	Routes   *RoutesResult      `json:"routes,omitempty"`
 	Members  *MembersResult     `json:"members,omitempty"`
-	// ZoneFaults tell how zones were left and came back; of simulated runs, where each send is seen.
+	// ZoneFaults report how traffic left zones with faults and returned. Only simulated runs, which record each send, have
+	// them.
 	ZoneFaults []simulate.ZoneFault `json:"zone_faults,omitempty"`
 }
 
-// Lateness is how well the lab kept its own times.
+// Lateness is how late the lab itself was in a run, in milliseconds.
 type Lateness struct {
-	P99MS        float64 `json:"p99_ms"` // of arrivals behind their plan
-	MaxMS        float64 `json:"max_ms"`
-	LagMS        float64 `json:"lag_p99_ms"` // of a timer of the lab's process
-	ExceedsLimit bool    `json:"too_big"`
+	P99MS        float64 `json:"p99_ms"`     // lateness of arrivals at the 99th percentile
+	MaxMS        float64 `json:"max_ms"`     // lateness of arrivals at most
+	LagMS        float64 `json:"lag_p99_ms"` // lateness of a timer in the lab's process at the 99th percentile
+	ExceedsLimit bool    `json:"too_big"`    // whether the run does not count
 }
 
-// NewLateness sums up how late arrivals were sent, and by how much a timer of the lab's process was late.
+// NewLateness summarizes by how much arrivals were sent late, and by how much a timer of the lab's process was late.
 func NewLateness(arrivals, timerLag []time.Duration) Lateness {
 	p99, worst, lag := quantile(arrivals, 0.99), quantile(arrivals, 1), quantile(timerLag, 0.99)
 	return Lateness{P99MS: milliseconds(p99), MaxMS: milliseconds(worst), LagMS: milliseconds(lag),
 		ExceedsLimit: p99 > MaxLatenessP99 || worst > MaxLateness || lag > MaxLatenessP99}
 }
 
+// quantile returns the q-quantile of a list that need not be sorted, or 0 if it is empty.
 func quantile(list []time.Duration, q float64) time.Duration {
 	if len(list) == 0 {
 		return 0
@@ -75,7 +77,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Outcome is how the run ended, with the reason.
+// Outcome returns Pass, Fail or Late, with the reason unless the run passed.
 func (r *Report) Outcome() (end, reason string) {
 	if r.Lateness.ExceedsLimit {
 		return Late, fmt.Sprintf("the lab could not keep its times (arrivals %.0f ms late at the 99th percentile, %.0f ms at most; timers %.0f ms), so the run does not count",
@@ -92,8 +94,8 @@
 	return Pass, ""
 }
 
-// New measures a run by its records and holds it to the rules; routes is nil where there are none, and stalls are the times
-// in which the lab got no processor time.
+// New computes the figures of a run from its events and checks them against the rules. routes is nil if the run has no
+// rollouts. worked is the total work of the servers. stalls are the periods in which the lab got no processor time.
 func New(p *scenario.Plan, all []record.Event, worked float64, routes *invariant.Routes, stalls []invariant.Span) *Report {
 	s := p.Scenario
 	facts := invariant.Facts{
@@ -112,7 +114,7 @@
 	}
 }
 
-// CheckExpectations lists what the scenario expects and the run did not show.
+// CheckExpectations sets Missed to the scenario's expectations that the run did not meet.
 func (r *Report) CheckExpectations(s *scenario.Scenario) {
 	r.CheckFigures(&s.Expect)
 	r.Missed = append(r.Missed, missedRouteExpectations(s, r)...)
@@ -121,10 +123,10 @@
 	}
 }
 
-// CheckFigures lists the expected figures that the run did not reach. A simulated run has no others.
+// CheckFigures sets Missed to the expected figures that the run did not reach. A simulated run has no others.
 func (r *Report) CheckFigures(e *scenario.Expect) { r.Missed = missedFigures(e, r) }
 
-// missedFigures compares the figures of a run with those expected.
+// missedFigures returns the expected figures that the run did not reach.
 func missedFigures(e *scenario.Expect, r *Report) []string {
 	var out []string
 	f := &r.Result.Figures
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -13,12 +13,14 @@
 	"marblelane/internal/lab/measure"
 )
 
+// The size of each plot.
 const (
 	PlotWidth  = 24 * vg.Centimeter
 	PlotHeight = 10 * vg.Centimeter
 )
 
-// The colours of what is good, bad and refused, apart for most eyes (Okabe and Ito, 2008).
+// The colours of what is served, failed and rejected, distinguishable with common colour vision deficiencies (Okabe and
+// Ito, 2008), and of fault spans.
 var (
 	GoodColour     = color.RGBA{0, 114, 178, 255}
 	FailedColour   = color.RGBA{213, 94, 0, 255}
@@ -26,7 +28,7 @@
 	faultColour    = color.NRGBA{120, 120, 120, 50}
 )
 
-// savePlots draws the report's pictures as PNG and SVG into a folder.
+// savePlots saves the report's plots as PNG and SVG in a folder.
 func (r *Report) savePlots(dir string) error {
 	for name, draw := range map[string]func() (*plot.Plot, error){
 		"timeline": r.timelinePlot, "latency": r.latencyPlot, "servers": r.serversPlot,
@@ -44,11 +46,12 @@
 	return nil
 }
 
+// title returns the title of a plot.
 func (r *Report) title(what string) string {
 	return fmt.Sprintf("%s, seed %d: %s", r.Scenario, r.Seed, what)
 }
 
-// timelinePlot shows what was served, refused and failed, with the faults as grey spans.
+// timelinePlot plots the fractions served, rejected and failed over time, with the faults as grey spans.
 func (r *Report) timelinePlot() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = r.title("share of worth in aim, of tries refused and failed")
@@ -80,11 +83,11 @@
 		p.Add(line)
 		p.Legend.Add(one.name, line)
 	}
-	p.Legend.YOffs = PlotHeight / 3 // between the lines that are near 1 and those near 0
+	p.Legend.YOffs = PlotHeight / 3 // between the lines near 1 and the lines near 0
 	return p, nil
 }
 
-// markFaults draws a grey span, or a line for what happens once, at each fault.
+// markFaults draws a grey span for each fault that lasts, and a dashed line for each momentary one.
 func markFaults(p *plot.Plot, faults []measure.FaultSpan, top float64) error {
 	for _, f := range faults {
 		if f.To <= f.From {
@@ -112,10 +115,10 @@
 	return nil
 }
 
-// latencyPlot shows the distribution of the time of served answers.
+// latencyPlot plots the latency of served responses by percentile.
 func (r *Report) latencyPlot() (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = r.title("time of served answers, from the planned time")
+	p.Title.Text = r.title("latency of served responses, from the planned time")
 	p.X.Label.Text, p.Y.Label.Text = "percentile", "ms"
 	var points plotter.XYs
 	var ticks []plot.Tick
@@ -123,7 +126,7 @@
 		if s.Quantile >= 100 || s.Quantile <= 0 {
 			continue
 		}
-		x := -math.Log10(1 - s.Quantile/100) // each nine takes the same room
+		x := -math.Log10(1 - s.Quantile/100) // the axis has the same length for each additional nine
 		points = append(points, plotter.XY{X: x, Y: s.MS})
 		ticks = append(ticks, plot.Tick{Value: x, Label: fmt.Sprintf("%g", s.Quantile)})
 	}
@@ -138,7 +141,7 @@
 	return p, nil
 }
 
-// serversPlot shows which share of the attempts each server got.
+// serversPlot plots the percentage of the attempts that each server got.
 func (r *Report) serversPlot() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = r.title("share of attempts at each server")
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report is what a run of the lab came to: its figures, the rules that were broken, the expectations that were not
-// met and whether the run counts. It measures a run by its records, and prints, saves and plots the result.
+// Package report builds the report of a lab run from its recorded events: the figures, the broken rules, the
+// expectations that were not met, and whether the run counts. It prints, saves and plots the report.
 package report
 
 import (
@@ -15,10 +15,10 @@
 	"marblelane/internal/lab/simulate"
 )
 
-// MaxRows bounds the rows of a table that has one for each sidecar.
+// MaxRows is the maximum number of rows of a table with one row per sidecar.
 const MaxRows = 10
 
-// Print writes the report as tables for a reader.
+// Print writes the report as text.
 func (r *Report) Print(w io.Writer) {
 	if r.Registry != nil {
 		r.Registry.print(w, r)
@@ -29,9 +29,9 @@
 	fmt.Fprintf(w, "%s (seed %d): %d sidecars, %d servers, %.0f requests/s for %.0f s\n",
 		r.Scenario, r.Seed, r.Sidecars, r.Servers, r.Rate, r.LengthS)
 	fmt.Fprintf(w, "\nserved in aim %6.2f%% of the worth (worst 5 s: %.2f%%) of %d requests\n", 100*f.InObjective, 100*f.WorstInObjective, f.Requests)
-	fmt.Fprintf(w, "tries         %6.2f%% refused, %.2f%% failed, %.3f a request; %.3f attempts a try that was sent on\n",
+	fmt.Fprintf(w, "tries         %6.2f%% refused, %.2f%% failed, %.3f per request; %.3f attempts per try that reached a server\n",
 		100*f.Rejected, 100*f.Failed, f.ClientAttempts, f.ServerAttempts)
-	fmt.Fprintf(w, "cost          %6.2f%% of attempts left their zone (%.2f%% is the least that capacity allows), %.2f%% of the servers' work served nobody\n",
+	fmt.Fprintf(w, "cost          %6.2f%% of attempts left their zone (capacity alone requires %.2f%%), %.2f%% of the servers' work led to no correct response\n",
 		100*f.CrossZone, 100*f.MinCrossZone, 100*f.Waste)
 	fmt.Fprintf(w, "latency       p50 %.1f  p90 %.1f  p99 %.1f  p99.9 %.1f  max %.1f ms, from the planned time\n", f.P50, f.P90, f.P99, f.P999, f.Max)
 	fmt.Fprintf(w, "\n%-18s %9s %8s %9s %9s\n", "class", "requests", "in aim", "p50 ms", "p99 ms")
@@ -71,22 +71,23 @@
 	r.printRules(w)
 }
 
-// printRules writes how many cases each rule was held to, and each breach.
+// printRules writes how many cases each rule was checked on, the lab's lateness, and the breaches.
 func (r *Report) printRules(w io.Writer) {
 	simulate.PrintZoneFaults(w, r.ZoneFaults)
 	fmt.Fprintf(w, "rules:")
 	for _, rule := range sortedKeys(r.Verdict.Checked) {
 		fmt.Fprintf(w, " %s %d;", rule, r.Verdict.Checked[rule])
 	}
-	fmt.Fprintf(w, " cases held to each\nthe lab: arrivals %.1f ms behind their plan at the 99th percentile, %.1f ms at most\n", r.Lateness.P99MS, r.Lateness.MaxMS)
+	fmt.Fprintf(w, " cases checked of each\nthe lab: arrivals %.1f ms late at the 99th percentile, %.1f ms at most\n", r.Lateness.P99MS, r.Lateness.MaxMS)
 	for _, b := range r.Verdict.Breaches {
 		fmt.Fprintf(w, "\nRULE BROKEN %s at %.3f s: %s\n", b.Rule, b.At, b.Text)
 		if b.Request != "" {
-			fmt.Fprintf(w, "the path of request %s:\n  %s\n", b.Request, strings.Join(b.Path, "\n  "))
+			fmt.Fprintf(w, "the events of request %s:\n  %s\n", b.Request, strings.Join(b.Path, "\n  "))
 		}
 	}
 }
 
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys(m map[string]int) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
@@ -96,28 +97,28 @@
 	return keys
 }
 
-// Save writes report.json, report.txt and the plots into a folder.
+// Save writes report.json, report.txt and the plots to a folder. A report of the list service has no plots.
 func (r *Report) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("create report folder: %w", err)
 	}
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("encode report: %w", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "report.json"), append(data, '\n'), 0o644); err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("save report: %w", err)
 	}
 	var text strings.Builder
 	r.Print(&text)
 	if err := os.WriteFile(filepath.Join(dir, "report.txt"), []byte(text.String()), 0o644); err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("save report: %w", err)
 	}
 	if r.Registry != nil {
 		return nil
 	}
 	if err := r.savePlots(dir); err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("save report: %w", err)
 	}
 	return nil
 }
--- a/internal/lab/report/slow_start.go
+++ b/internal/lab/report/slow_start.go
@@ -6,7 +6,7 @@
 	"marblelane/internal/lab/stock"
 )
 
-// slowStartLimits is what the servers of the plan may be sent during their slow start, by the settings of the sidecars.
+// slowStartLimits returns the limits of calls to the plan's servers in slow start, from the settings of the sidecars.
 func slowStartLimits(p *scenario.Plan) invariant.SlowStart {
 	rules := &p.Scenario.Rules
 	f := invariant.SlowStart{InitialCapacity: rules.InitialCapacity, Time: rules.SlowStart.Duration(), Window: rules.OverloadTime.Duration(), OverloadMultiple: rules.OverloadMultiple}
