--- a/internal/lab/invariant/invariant.go
+++ b/internal/lab/invariant/invariant.go
@@ -294,7 +294,7 @@
 	}
 	for _, e := range r.events {
 		if e.Kind == record.UnknownRequest {
-			c.breachOf(r, NoUnknownRequest, e.T, "server %d received an unexpected request from sidecar %d: %s", e.Server, e.Sidecar, e.Note)
+			c.breachOf(r, NoUnknownRequest, e.T, "server %d received from sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
 		}
 	}
 }
@@ -303,7 +303,7 @@
 func (c *checker) checkUnreadable() {
 	for i := range c.events {
 		if e := &c.events[i]; e.Kind == record.UnknownRequest && e.Request == 0 {
-			c.breach(NoUnknownRequest, e.T, 0, nil, "server %d received an unexpected request from sidecar %d: %s", e.Server, e.Sidecar, e.Note)
+			c.breach(NoUnknownRequest, e.T, 0, nil, "server %d received from sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
 		}
 	}
 }
--- a/internal/lab/invariant/members.go
+++ b/internal/lab/invariant/members.go
@@ -51,8 +51,7 @@
 	requestedAt, receivedAt time.Duration // the process took its status between these times
 	start                   int64         // start of the process, as it identifies itself
 	quota                   float64       // fraction of the fleet's total
-	forced                  bool          // admitted by timeout
-	left                    bool
+	forced, left            bool          // admitted by timeout; reported that it left
 }
 
 // member is one process of a sidecar or a list service replica.
--- a/internal/lab/invariant/ready.go
+++ b/internal/lab/invariant/ready.go
@@ -6,8 +6,8 @@
 	"marblelane/internal/lab/record"
 )
 
-// restartsPerLateOne is the number of restarted processes of which one may be ready late.
-const restartsPerLateOne = 10
+// restartsPerLateStart is the number of restarted processes of which one may be ready late.
+const restartsPerLateStart = 10
 
 // minReadyTime is how long a process that is not ready at the end of the run may have been starting without being late,
 // unless ReadyWithin is shorter.
@@ -48,7 +48,7 @@
 		end := c.events[len(c.events)-1].T
 		recordIfLate(record.Event{T: end, Sidecar: sidecar}, min(c.facts.ReadyWithin, minReadyTime))
 	}
-	if all := c.verdict.Checked[ReadyInTime]; len(late)*restartsPerLateOne > all {
+	if all := c.verdict.Checked[ReadyInTime]; len(late)*restartsPerLateStart > all {
 		c.breach(ReadyInTime, late[0].T, 0, nil, "%d of %d restarted processes were not ready within %v, first of sidecar %d",
 			len(late), all, c.facts.ReadyWithin, late[0].Sidecar)
 	}
