--- a/internal/lab/report/delayed_links.go
+++ b/internal/lab/report/delayed_links.go
@@ -5,15 +5,15 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// delayedLinks are the times in which links between sidecars and servers delay all messages.
-func delayedLinks(p *scenario.Plan) []invariant.HeldBack {
+// delayedLinks returns the periods in which a fault of the plan may delay data between sidecars and servers.
+func delayedLinks(p *scenario.Plan) []invariant.DelayedLink {
 	var all []int
 	for i := range p.Sidecars {
 		all = append(all, i)
 	}
-	var held []invariant.HeldBack
+	var held []invariant.DelayedLink
 	for _, one := range p.Faults {
-		h := invariant.HeldBack{From: one.At, To: one.Until, Sidecars: one.Sidecars, Servers: one.Servers}
+		h := invariant.DelayedLink{From: one.At, To: one.Until, Sidecars: one.Sidecars, Servers: one.Servers}
 		switch {
 		case one.Fault.Kind == "vanish":
 			h.Sidecars = all
