--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -259,7 +259,7 @@
 	if err != nil {
 		switch {
 		case ctx.Err() != nil:
-			t.note(record.NoAnswer, record.Event{Note: record.RunEnded})
+			t.note(record.NoResponse, record.Event{Note: record.RunEnded})
 			c.Close()
 			return attemptResult{}, false
 		case !errors.Is(err, os.ErrDeadlineExceeded):
@@ -276,7 +276,7 @@
 			defer c.Close()
 			_ = c.SetDeadline(started.Add(t.timeout + lateAnswerGrace))
 			if _, err := c.in.Peek(1); err != nil {
-				t.note(record.NoAnswer, record.Event{Note: err.Error()})
+				t.note(record.NoResponse, record.Event{Note: err.Error()})
 				return
 			}
 			t.readAnswer(c, method)
@@ -309,7 +309,7 @@
 	if resp.StatusCode == http.StatusOK {
 		e.Want = record.Sum(stock.Body(t.id, t.load.Plan.Scenario.Traffic.AnswerBytes))
 	}
-	t.note(record.Answered, e)
+	t.note(record.ResponseReceived, e)
 	if c.in.Buffered() > 0 {
 		t.note(record.ExtraBytes, record.Event{})
 		return attemptResult{status: resp.StatusCode}, false
--- a/internal/lab/client/leave.go
+++ b/internal/lab/client/leave.go
@@ -57,7 +57,7 @@
 	default:
 		c.Close()
 	}
-	t.note(record.ClientLeft, record.Event{Note: way})
+	t.note(record.ClientDisconnected, record.Event{Note: way})
 }
 
 // drain reads and discards what still arrives on a half-closed connection, up to the attempt's timeout and the grace
--- a/internal/lab/experiment/growth/simulation.go
+++ b/internal/lab/experiment/growth/simulation.go
@@ -107,7 +107,7 @@
 	}
 	s.Faults = kind.faults(o)
 	plan := s.Plan(1)
-	run, err := simulate.Play(ctx, plan, simulate.Options{})
+	run, err := simulate.Run(ctx, plan, simulate.Options{})
 	if err != nil {
 		return Usage{}, nil, fmt.Errorf("%d sidecars, %d servers: %w", size.Sidecars, size.Servers, err)
 	}
--- a/internal/lab/experiment/membercold/membercold.go
+++ b/internal/lab/experiment/membercold/membercold.go
@@ -110,26 +110,26 @@
 }
 
 // splitFleet partitions n sidecars at splitAtMS, each into the part that partOf returns, and heals them at healAtMS.
-func splitFleet(n int, partOf func(sidecar int) int) []simulate.Change {
+func splitFleet(n int, partOf func(sidecar int) int) []simulate.FleetChange {
 	parts := make([]int, n)
 	for i := range parts {
 		parts[i] = partOf(i)
 	}
-	return []simulate.Change{{At: splitAtMS, Sides: parts}, {At: healAtMS, Sides: make([]int, n)}}
+	return []simulate.FleetChange{{At: splitAtMS, Sides: parts}, {At: healAtMS, Sides: make([]int, n)}}
 }
 
 // fleetChange returns the steps of a named change with n sidecars at the start, and how many sidecars exist at some time.
-func fleetChange(name string, n int) (all int, changes []simulate.Change, err error) {
+func fleetChange(name string, n int) (all int, changes []simulate.FleetChange, err error) {
 	switch name {
 	case "steady":
 		return n, nil, nil
 	case "half-die":
-		return n, []simulate.Change{{At: stopAtMS, Stop: indices(n/2, n)}}, nil
+		return n, []simulate.FleetChange{{At: stopAtMS, Stop: indices(n/2, n)}}, nil
 	case "double":
-		return 2 * n, []simulate.Change{{At: startAtMS, Start: indices(n, 2*n)}}, nil
+		return 2 * n, []simulate.FleetChange{{At: startAtMS, Start: indices(n, 2*n)}}, nil
 	case "die-return":
 		majority := indices(n-n*7/10, n)
-		return n, []simulate.Change{{At: stopAtMS, Stop: majority}, {At: startAtMS, Start: majority}}, nil
+		return n, []simulate.FleetChange{{At: stopAtMS, Stop: majority}, {At: startAtMS, Start: majority}}, nil
 	case "split-half":
 		return n, splitFleet(n, func(i int) int { return i % 2 }), nil
 	case "split-one":
@@ -141,8 +141,8 @@
 	case "split-third": // half and half, and a third of the sidecars restarts meanwhile
 		third := indices(0, n/3)
 		changes := splitFleet(n, func(i int) int { return i % 2 })
-		stop := simulate.Change{At: startAtMS - restartTimeMS, Stop: third}
-		return n, append(changes, stop, simulate.Change{At: startAtMS, Start: third}), nil
+		stop := simulate.FleetChange{At: startAtMS - restartTimeMS, Stop: third}
+		return n, append(changes, stop, simulate.FleetChange{At: startAtMS, Start: third}), nil
 	}
 	return 0, nil, fmt.Errorf("no change of a fleet is named %q: there are %v", name, FleetChangeNames())
 }
@@ -325,7 +325,7 @@
 	if err != nil {
 		return run{err: err}
 	}
-	played, err := simulate.Play(ctx, p, simulate.Options{Members: &simulate.Members{
+	played, err := simulate.Run(ctx, p, simulate.Options{Members: &simulate.Members{
 		Count: row.CountMode, Peers: row.Sidecars, Changes: changes, MeanWork: float64(c.MeanWork) / float64(time.Millisecond),
 	}})
 	if err != nil {
@@ -338,7 +338,7 @@
 
 // fullTrafficTimes returns, for each group of servers that started together, the ms until it got its part of all sends,
 // in ascending order. Groups for which that cannot be told are left out.
-func fullTrafficTimes(run *simulate.Run) []float64 {
+func fullTrafficTimes(run *simulate.Result) []float64 {
 	groups := map[float64]map[int]bool{}
 	for _, s := range run.Members.Starts {
 		if groups[s.At] == nil {
--- a/internal/lab/invariant/clients.go
+++ b/internal/lab/invariant/clients.go
@@ -33,10 +33,10 @@
 	leftAt := forever
 	for _, e := range r.events {
 		switch {
-		case e.Kind == record.ClientLeft:
+		case e.Kind == record.ClientDisconnected:
 			leftAt = min(leftAt, e.T)
 			c.out.Checked[ClientGone]++
-		case e.Kind == record.NoAnswer && e.Note != record.RunEnded:
+		case e.Kind == record.NoResponse && e.Note != record.RunEnded:
 			leftAt = min(leftAt, e.T)
 		case e.Kind == record.FirstByte:
 			c.checkAttemptAfterLeave(r, e, leftAt)
--- a/internal/lab/invariant/clients_test.go
+++ b/internal/lab/invariant/clients_test.go
@@ -22,17 +22,17 @@
 		held   []HeldBack
 		broken bool
 	}{
-		"before":                {client(500, record.ClientLeft, ""), nil, 400, nil, false},
-		"right after":           {client(500, record.ClientLeft, ""), nil, 640, nil, false},
-		"later":                 {client(500, record.ClientLeft, ""), nil, 660, nil, true},
-		"after the listening":   {client(500, record.NoAnswer, "i/o timeout"), nil, 660, nil, true},
-		"at the end of the run": {client(500, record.NoAnswer, record.RunEnded), nil, 660, nil, false},
-		"answered":              {client(500, record.Answered, ""), nil, 660, nil, false},
-		"frozen then":           {client(500, record.ClientLeft, ""), frozen, 1600, nil, false},
-		"long after it woke":    {client(500, record.ClientLeft, ""), frozen, 1700, nil, true},
-		"held back":             {client(500, record.ClientLeft, ""), nil, 900, held, false},
-		"after what held back":  {client(500, record.ClientLeft, ""), nil, 1000, held, true},
-		"on another link":       {client(500, record.ClientLeft, ""), nil, 900, []HeldBack{{To: time.Second, Sidecars: []int{0}, Servers: []int{4}}}, true},
+		"before":                {client(500, record.ClientDisconnected, ""), nil, 400, nil, false},
+		"right after":           {client(500, record.ClientDisconnected, ""), nil, 640, nil, false},
+		"later":                 {client(500, record.ClientDisconnected, ""), nil, 660, nil, true},
+		"after the listening":   {client(500, record.NoResponse, "i/o timeout"), nil, 660, nil, true},
+		"at the end of the run": {client(500, record.NoResponse, record.RunEnded), nil, 660, nil, false},
+		"answered":              {client(500, record.ResponseReceived, ""), nil, 660, nil, false},
+		"frozen then":           {client(500, record.ClientDisconnected, ""), frozen, 1600, nil, false},
+		"long after it woke":    {client(500, record.ClientDisconnected, ""), frozen, 1700, nil, true},
+		"held back":             {client(500, record.ClientDisconnected, ""), nil, 900, held, false},
+		"after what held back":  {client(500, record.ClientDisconnected, ""), nil, 1000, held, true},
+		"on another link":       {client(500, record.ClientDisconnected, ""), nil, 900, []HeldBack{{To: time.Second, Sidecars: []int{0}, Servers: []int{4}}}, true},
 	} {
 		events := append([]record.Event{process(0, Started), process(1, Serving), client(100, record.Sent, ""), c.left, send(c.send)}, c.more...)
 		slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.T - b.T) })
@@ -60,7 +60,7 @@
 	} {
 		events := []record.Event{process(0, Started), process(1, Serving),
 			{T: millis(100), Kind: record.Sent, Request: 7, Server: record.None},
-			{T: millis(500), Kind: record.ClientLeft, Request: 7, Server: record.None}, send(710)}
+			{T: millis(500), Kind: record.ClientDisconnected, Request: 7, Server: record.None}, send(710)}
 		got := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, Stalls: c.stalls}).Broken()
 		if slices.Contains(got, ClientGone) != c.broken {
 			t.Errorf("%s: broken are %v", name, got)
--- a/internal/lab/invariant/invariant.go
+++ b/internal/lab/invariant/invariant.go
@@ -248,11 +248,11 @@
 		switch e.Kind {
 		case record.Sent:
 			r.sent = append(r.sent, e)
-		case record.Answered:
+		case record.ResponseReceived:
 			r.answers++
 		case record.ConnectionLost:
 			r.connectionLost, r.unansweredAt = true, e.T
-		case record.NoAnswer:
+		case record.NoResponse:
 			r.noAnswer, r.unansweredAt = e.Note != record.RunEnded, e.T
 		case record.ExtraBytes:
 			r.extraBytes = true
@@ -260,7 +260,7 @@
 			r.runs++
 		case record.LastByte:
 			r.attempts = append(r.attempts, attempt{server: int(e.Server), connection: int(e.Attempt), from: e.T, to: forever})
-		case record.Rejected, record.Replied, record.SidecarClosed:
+		case record.Rejected, record.ResponseSent, record.SidecarClosed:
 			r.endAttempt(e)
 		}
 	}
@@ -311,7 +311,7 @@
 // checkBody checks that a client got the body that was made for its request.
 func (c *checker) checkBody(r *requestEvents) {
 	for _, e := range r.events {
-		if e.Kind != record.Answered || e.Status != http.StatusOK {
+		if e.Kind != record.ResponseReceived || e.Status != http.StatusOK {
 			continue
 		}
 		c.out.Checked[Body]++
--- a/internal/lab/invariant/invariant_test.go
+++ b/internal/lab/invariant/invariant_test.go
@@ -84,14 +84,14 @@
 	}{
 		"ends with it":                 {byItself, 900, record.ConnectionLost, 1999, true},
 		"ends with what came just now": {byItself, 1990, record.ConnectionLost, 1995, true},
-		"answered before":              {byItself, 900, record.Answered, 1999, false},
-		"its client had left":          {byItself, 900, record.ClientLeft, 1500, false},
+		"answered before":              {byItself, 900, record.ResponseReceived, 1999, false},
+		"its client had left":          {byItself, 900, record.ClientDisconnected, 1500, false},
 		"a close crossed it":           {byItself, 1400, record.ConnectionLost, 1401, false},
 		"killed with what came before": {killed, 900, record.ConnectionLost, 4701, false},
 		"killed with what came early":  {killed, 1700, record.ConnectionLost, 4701, false},
 		"killed with what came late":   {killed, 1701, record.ConnectionLost, 4701, true},
-		"late, but answered":           {killed, 1701, record.Answered, 4000, false},
-		"overdue before the kill":      {killed, 900, record.NoAnswer, 3000, true},
+		"late, but answered":           {killed, 1701, record.ResponseReceived, 4000, false},
+		"overdue before the kill":      {killed, 900, record.NoResponse, 3000, true},
 	} {
 		events := append(append(slices.Clone(up), c.end...), client(c.sent, record.Sent), client(c.after, c.then))
 		slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.T - b.T) })
--- a/internal/lab/invariant/routes.go
+++ b/internal/lab/invariant/routes.go
@@ -210,7 +210,7 @@
 	clientLeftAt := map[uint64]time.Duration{}
 	for i := range r.events {
 		e := &r.events[i]
-		if _, ok := clientLeftAt[e.Request]; !ok && (e.Kind == record.ClientLeft || e.Kind == record.ConnectionLost) {
+		if _, ok := clientLeftAt[e.Request]; !ok && (e.Kind == record.ClientDisconnected || e.Kind == record.ConnectionLost) {
 			clientLeftAt[e.Request] = e.T
 		}
 	}
@@ -231,7 +231,7 @@
 		case record.LastByte:
 			a.complete = true
 			continue
-		case record.Replied:
+		case record.ResponseSent:
 			failure = e.Status >= 500 || o.LatencyObjectives != nil && e.T-first.T > o.LatencyObjectives[first.Class]
 		case record.Rejected:
 			failure = true
--- a/internal/lab/invariant/routes_test.go
+++ b/internal/lab/invariant/routes_test.go
@@ -16,7 +16,7 @@
 }
 
 func replied(at int, id uint64, status int32) record.Event {
-	return record.Event{T: millis(at), Kind: record.Replied, Request: id, Server: 1, Attempt: 1, Status: status, Class: record.None}
+	return record.Event{T: millis(at), Kind: record.ResponseSent, Request: id, Server: 1, Attempt: 1, Status: status, Class: record.None}
 }
 
 func onServer(at int, id uint64, kind record.Kind) record.Event {
@@ -47,7 +47,7 @@
 	base := attemptAt(at, 1, 20)
 	base.Canary = false
 	turned := record.Event{T: millis(at + 1), Kind: record.Rejected, Request: 2, Server: 1, Attempt: 1, Status: 503, Class: record.None}
-	gaveUp := record.Event{T: millis(at + 1), Kind: record.ClientLeft, Request: 2, Class: record.None, Server: record.None}
+	gaveUp := record.Event{T: millis(at + 1), Kind: record.ClientDisconnected, Request: 2, Class: record.None, Server: record.None}
 	// The second attempt ends without an answer: its server hung until it was closed, or reset it.
 	hung := func(between ...record.Event) []record.Event {
 		all := append([]record.Event{process(0, Started), process(1, Serving), attemptAt(at, 1, 20), replied(at+1, 1, 500), attemptAt(at, 2, 20)},
@@ -72,9 +72,9 @@
 		"the second had no answer":         {hung(received), Budget},
 		"nor had its client in its time":   {hung(received, client(at+350, record.Overdue)), Budget},
 		"it was not received completely":   {hung(), ""},
-		"its client had left":              {hung(received, client(at+300, record.ClientLeft)), ""},
-		"its client left at the same time": {append(hung(received), client(at+401, record.ClientLeft)), ""},
-		"its client left long after":       {append(hung(received), client(at+600, record.ClientLeft)), Budget},
+		"its client had left":              {hung(received, client(at+300, record.ClientDisconnected)), ""},
+		"its client left at the same time": {append(hung(received), client(at+401, record.ClientDisconnected)), ""},
+		"its client left long after":       {append(hung(received), client(at+600, record.ClientDisconnected)), Budget},
 		"its sidecar ended":                {append(hung(received, process(at+399, Killed)), process(at+402, Ended)), ""},
 		"its sidecar ended long after":     {append(hung(received), process(at+900, Killed), process(at+900, Ended)), Budget},
 		"it is out yet":                    {hung(received)[:6], ""},
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -33,7 +33,7 @@
 // Simulate plays a scenario on a simulated clock (package simulate), with the same rules, figures and expectations.
 func Simulate(ctx context.Context, s *scenario.Scenario, seed uint64, o simulate.Options) (*report.Report, error) {
 	plan := s.Plan(seed)
-	run, err := simulate.Play(ctx, plan, o)
+	run, err := simulate.Run(ctx, plan, o)
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -204,7 +204,7 @@
 	case record.Sent:
 		c.addAttempt(e)
 		c.result.Sidecars[e.Sidecar].Requests++
-	case record.Answered:
+	case record.ResponseReceived:
 		c.addAnswer(e)
 	case record.NotSent:
 		c.addAttempt(e)
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -19,11 +19,11 @@
 const (
 	// Observed by clients; N is the index of the arrival in the plan.
 	Sent           Kind = iota + 1 // Request, Sidecar, Class, Attempt (from 1), Sum (body), Work (the client's timeout in ms)
-	Answered                       // Request, Sidecar, Status, Sum (body), Want (sum of the expected body)
+	ResponseReceived                       // Request, Sidecar, Status, Sum (body), Want (sum of the expected body)
 	ConnectionLost                 // Request, Sidecar, Note: its connection ended without a complete answer
 	Overdue                        // Request, Sidecar: its timeout expired; the client still reads for a grace period
-	NoAnswer                       // Request, Sidecar: no answer in the grace period either, or the run ended
-	ClientLeft                     // Request, Sidecar, Note (how): the client left before its timeout
+	NoResponse                       // Request, Sidecar: no answer in the grace period either, or the run ended
+	ClientDisconnected                     // Request, Sidecar, Note (how): the client left before its timeout
 	NotSent                        // Request, Sidecar, Note: it could not be written completely
 	ExtraBytes                     // Request, Sidecar: unexpected bytes after a complete answer
 	// Observed by servers.
@@ -31,7 +31,7 @@
 	LastByte       // Request, Sidecar, Server, Attempt, Sum (body): the attempt is complete
 	Rejected       // Request, Sidecar, Server, Attempt: answered X-Not-Processed
 	WorkStarted    // Request, Sidecar, Server, Attempt: its work has started
-	Replied        // Request, Sidecar, Server, Attempt, Status: the answer's last byte is written
+	ResponseSent        // Request, Sidecar, Server, Attempt, Status: the answer's last byte is written
 	SidecarClosed  // Request, Sidecar, Server, Attempt: the sidecar closed before an answer
 	UnknownRequest // Request, Sidecar, Server, Note: no client sent this request
 	OverloadCrash  // Server, Note: a server in slow start crashed under overload
@@ -55,10 +55,10 @@
 )
 
 var kindTexts = map[Kind]string{
-	Sent: "client sends", Answered: "client is answered", ConnectionLost: "client's connection ends", ClientLeft: "client gives up", Overdue: "client's time is over",
-	NoAnswer: "client has heard nothing", NotSent: "client cannot send",
+	Sent: "client sends", ResponseReceived: "client is answered", ConnectionLost: "client's connection ends", ClientDisconnected: "client gives up", Overdue: "client's time is over",
+	NoResponse: "client has heard nothing", NotSent: "client cannot send",
 	ExtraBytes: "client hears more than its answer", FirstByte: "server hears first byte", LastByte: "server has last byte",
-	Rejected: "server turns away", WorkStarted: "server runs", Replied: "server has answered", SidecarClosed: "server sees a close",
+	Rejected: "server turns away", WorkStarted: "server runs", ResponseSent: "server has answered", SidecarClosed: "server sees a close",
 	UnknownRequest: "server hears what no client sent", OverloadCrash: "server falls over", ServerState: "server", Notified: "list tells",
 	RoutesObserved: "routes are told", RevisionClosed: "revision is said to be closed", RolloutFraction: "share is told", RolloutPhase: "rollout is said to be",
 	MembershipStatus: "process says of the fleet", MemberStatus: "process says that", MemberProcess: "member",
--- a/internal/lab/simulate/client_request.go
+++ b/internal/lab/simulate/client_request.go
@@ -124,7 +124,7 @@
 		return
 	}
 	c.clientDone = true
-	c.record(record.ClientLeft, record.Event{})
+	c.record(record.ClientDisconnected, record.Event{})
 	c.forget()
 	c.sidecar.handle(balance.ClientDisconnected{Request: balance.RequestID(c.id)})
 	c.request.scheduleRetry(0)
@@ -142,7 +142,7 @@
 // stopListening ends the time in which a client that has timed out still reads.
 func (c *clientAttempt) stopListening() {
 	if c.overdue && !c.final {
-		c.record(record.NoAnswer, record.Event{Note: "nothing"})
+		c.record(record.NoResponse, record.Event{Note: "nothing"})
 		c.forget()
 	}
 }
@@ -158,7 +158,7 @@
 	}
 	retry := !c.clientDone && status != http.StatusOK
 	if !c.final {
-		c.record(record.Answered, e)
+		c.record(record.ResponseReceived, e)
 	}
 	c.clientDone = true
 	c.forget()
--- a/internal/lab/simulate/digest_test.go
+++ b/internal/lab/simulate/digest_test.go
@@ -40,7 +40,7 @@
 			}
 		}
 		plan := parse(t, name).Plan(uint64(i + 1))
-		if _, err := simulate.Play(context.Background(), plan, simulate.Options{Observe: observe}); err != nil {
+		if _, err := simulate.Run(context.Background(), plan, simulate.Options{Observe: observe}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/lab/simulate/fleet.go
+++ b/internal/lab/simulate/fleet.go
@@ -16,7 +16,7 @@
 type Members struct {
 	Count   CountMode
 	Peers   int      // sidecars at the start, the first ones; the number in the settings of all
-	Changes []Change // in any order
+	Changes []FleetChange // in any order
 	// MeanWork is the work of a request at a server in slow start, in milliseconds of a core of speed 1. The server crashes
 	// with more than N + 3√N + 3 of them in the settings' overload time; N is the overload multiple of its capacity at the
 	// start of this window.
@@ -41,8 +41,8 @@
 	return []CountMode{CountNone, CountFixed, CountReachable, CountMembership, CountEarned, CountUnbounded}
 }
 
-// Change is one change of the fleet of sidecars. Sidecars are named by number.
-type Change struct {
+// FleetChange is one change of the fleet of sidecars. Sidecars are named by number.
+type FleetChange struct {
 	At    float64 // ms since the start of the run
 	Stop  []int   // these die
 	Start []int   // these start, with empty state
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func (m *fleet) applyChange(change *Change) {
+func (m *fleet) applyChange(change *FleetChange) {
 	for _, i := range change.Stop {
 		if c := m.sim.sidecars[i]; !c.down {
 			c.stop()
--- a/internal/lab/simulate/fleet_test.go
+++ b/internal/lab/simulate/fleet_test.go
@@ -13,7 +13,7 @@
 )
 
 // fleet plays 40 sidecars, 20 of which are there at the start, and six servers, most of which restart at once.
-func fleet(t *testing.T, count simulate.CountMode, seed uint64, changes ...simulate.Change) *simulate.Run {
+func fleet(t *testing.T, count simulate.CountMode, seed uint64, changes ...simulate.FleetChange) *simulate.Result {
 	t.Helper()
 	s, err := scenario.Parse("members", []byte(`title = "t"
 length = "20s"
@@ -34,7 +34,7 @@
 	for i := range p.Arrivals {
 		p.Arrivals[i].Sidecar %= 20
 	}
-	run, err := simulate.Play(context.Background(), p, simulate.Options{
+	run, err := simulate.Run(context.Background(), p, simulate.Options{
 		Members: &simulate.Members{Count: count, Peers: 20, Changes: changes, MeanWork: 90}})
 	require.NoError(t, err)
 	return run
@@ -58,19 +58,19 @@
 // With the counts of membership the sum of quotas never exceeds the fleet's allowance, however the fleet changes, and
 // comes back to it. With counts of reachable members it does exceed it, which shows that the measure can rise.
 func TestFleet_quotaSum(t *testing.T) {
-	healed := simulate.Change{At: 12000, Sides: make([]int, 40)}
+	healed := simulate.FleetChange{At: 12000, Sides: make([]int, 40)}
 	half, alone := sides(func(i int) int { return i % 2 }), sides(func(i int) int { return i })
 	for name, test := range map[string]struct {
-		changes      []simulate.Change
+		changes      []simulate.FleetChange
 		minReachable float64 // least maximum of the sum with CountReachable
 	}{
-		"half die":       {[]simulate.Change{{At: 3000, Stop: numbers(10, 20)}}, 0},
-		"double":         {[]simulate.Change{{At: 3000, Start: numbers(20, 40)}}, 20},
-		"die and return": {[]simulate.Change{{At: 3000, Stop: numbers(6, 20)}, {At: 7000, Start: numbers(6, 20)}}, 10},
-		"return at once": {[]simulate.Change{{At: 3000, Stop: numbers(6, 20)}, {At: 3000, Start: numbers(6, 20)}}, 10},
-		"split":          {[]simulate.Change{{At: 1000, Sides: half}, healed}, 1.9},
-		"all alone":      {[]simulate.Change{{At: 1000, Sides: alone}, healed}, 19},
-		"split, third restarts": {[]simulate.Change{{At: 1000, Sides: half}, {At: 3000, Stop: numbers(0, 7)},
+		"half die":       {[]simulate.FleetChange{{At: 3000, Stop: numbers(10, 20)}}, 0},
+		"double":         {[]simulate.FleetChange{{At: 3000, Start: numbers(20, 40)}}, 20},
+		"die and return": {[]simulate.FleetChange{{At: 3000, Stop: numbers(6, 20)}, {At: 7000, Start: numbers(6, 20)}}, 10},
+		"return at once": {[]simulate.FleetChange{{At: 3000, Stop: numbers(6, 20)}, {At: 3000, Start: numbers(6, 20)}}, 10},
+		"split":          {[]simulate.FleetChange{{At: 1000, Sides: half}, healed}, 1.9},
+		"all alone":      {[]simulate.FleetChange{{At: 1000, Sides: alone}, healed}, 19},
+		"split, third restarts": {[]simulate.FleetChange{{At: 1000, Sides: half}, {At: 3000, Stop: numbers(0, 7)},
 			{At: 6000, Start: numbers(0, 7)}, healed}, 1.9},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -87,8 +87,8 @@
 
 // A count that equals the settings changes nothing in a run, and the same seed gives the same run with changes.
 func TestFleet_fixedCount(t *testing.T) {
-	change := simulate.Change{At: 3000, Stop: numbers(5, 20)}
-	back := simulate.Change{At: 9000, Start: numbers(0, 40)}
+	change := simulate.FleetChange{At: 3000, Stop: numbers(5, 20)}
+	back := simulate.FleetChange{At: 9000, Start: numbers(0, 40)}
 	none := fleet(t, simulate.CountNone, 3, change, back)
 	assert.True(t, reflect.DeepEqual(none, fleet(t, simulate.CountFixed, 3, change, back)))
 	membership := fleet(t, simulate.CountMembership, 3, change, back)
@@ -101,9 +101,9 @@
 	for _, bad := range []simulate.Members{
 		{Count: "guess", Peers: 1, MeanWork: 1}, {Count: simulate.CountMembership, MeanWork: 1},
 		{Count: simulate.CountMembership, Peers: 1},
-		{Count: simulate.CountMembership, Peers: 1, MeanWork: 1, Changes: []simulate.Change{{Sides: []int{1}}}},
+		{Count: simulate.CountMembership, Peers: 1, MeanWork: 1, Changes: []simulate.FleetChange{{Sides: []int{1}}}},
 	} {
-		_, err := simulate.Play(context.Background(), s.Plan(1), simulate.Options{Members: &bad})
+		_, err := simulate.Run(context.Background(), s.Plan(1), simulate.Options{Members: &bad})
 		assert.ErrorContains(t, err, "members", "%+v", bad)
 	}
 }
--- a/internal/lab/simulate/server_attempt.go
+++ b/internal/lab/simulate/server_attempt.go
@@ -165,7 +165,7 @@
 // end answers the attempt at its server; report tells the balancer once the answer has arrived.
 func (a *serverAttempt) end(status int, report func()) {
 	a.ended = true
-	a.record(record.Replied, status)
+	a.record(record.ResponseSent, status)
 	a.deliver(func() {
 		a.keepConnection()
 		report()
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -41,8 +41,8 @@
 	Members *Members
 }
 
-// Run is the result of a run.
-type Run struct {
+// Result is the result of a run.
+type Result struct {
 	Events   []record.Event // by time
 	WorkDone float64        // by all servers, in milliseconds of a core of speed 1
 	Sends    []Send         // by time
@@ -117,8 +117,8 @@
 	incarnation     int               // number of processes that have ended
 }
 
-// Play runs a plan.
-func Play(ctx context.Context, plan *scenario.Plan, o Options) (*Run, error) {
+// Run runs a plan.
+func Run(ctx context.Context, plan *scenario.Plan, o Options) (*Result, error) {
 	s := plan.Scenario
 	if s.Registry.Replicas > 0 || s.Discovery.RegistryReplicas > 0 {
 		return nil, fmt.Errorf("simulate %s: the list service's copies are real processes; a simulated run has none", s.Name)
@@ -159,7 +159,7 @@
 			break
 		}
 	}
-	out := &Run{Events: sim.events, Sends: sim.sends}
+	out := &Result{Events: sim.events, Sends: sim.sends}
 	for _, p := range sim.pods {
 		out.WorkDone += p.model.WorkDone()
 	}
--- a/internal/lab/simulate/simulate_test.go
+++ b/internal/lab/simulate/simulate_test.go
@@ -26,9 +26,9 @@
 
 func TestPlay_deterministic(t *testing.T) {
 	s := parse(t, "zone-crash")
-	var runs []*simulate.Run
+	var runs []*simulate.Result
 	for _, seed := range []uint64{5, 5, 6} {
-		r, err := simulate.Play(context.Background(), s.Plan(seed), simulate.Options{})
+		r, err := simulate.Run(context.Background(), s.Plan(seed), simulate.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,7 +70,7 @@
 func TestPlay_errors(t *testing.T) {
 	for name, want := range map[string]string{"freeze": "sidecar-freeze", "registry-kills": "real processes"} {
 		t.Run(name, func(t *testing.T) {
-			_, err := simulate.Play(context.Background(), parse(t, name).Plan(1), simulate.Options{})
+			_, err := simulate.Run(context.Background(), parse(t, name).Plan(1), simulate.Options{})
 			if err == nil || !strings.Contains(err.Error(), want) {
 				t.Error(err)
 			}
@@ -78,7 +78,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := simulate.Play(ctx, parse(t, "calm").Plan(1), simulate.Options{}); err == nil {
+	if _, err := simulate.Run(ctx, parse(t, "calm").Plan(1), simulate.Options{}); err == nil {
 		t.Error("a run that was ended says nothing")
 	}
 }
@@ -87,7 +87,7 @@
 func TestPlay_quickRestart(t *testing.T) {
 	s := parse(t, "zone-rolls")
 	p := s.Plan(1)
-	run, err := simulate.Play(context.Background(), p, simulate.Options{})
+	run, err := simulate.Run(context.Background(), p, simulate.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 func TestZoneFaults(t *testing.T) {
 	s := parse(t, "zone-lost")
 	p := s.Plan(1)
-	run, err := simulate.Play(context.Background(), p, simulate.Options{})
+	run, err := simulate.Run(context.Background(), p, simulate.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/stock/request_run.go
+++ b/internal/lab/stock/request_run.go
@@ -182,7 +182,7 @@
 	}
 	v.replied.Store(true)
 	s.startIdle(v.conn)
-	v.record(record.Replied, status)
+	v.record(record.ResponseSent, status)
 	if s.chance(s.behaviour.Load().ExtraAnswer) {
 		s.writeExtra(v.conn, status, body)
 	}
--- a/internal/lab/stock/server_test.go
+++ b/internal/lab/stock/server_test.go
@@ -118,7 +118,7 @@
 	if err := call(t, s).exchange(); !reset(err) {
 		t.Errorf("got %v", err)
 	}
-	if !has(log, record.WorkStarted) || has(log, record.Replied) {
+	if !has(log, record.WorkStarted) || has(log, record.ResponseSent) {
 		t.Errorf("it had not begun, or has ended: %v", log.Events())
 	}
 	s.SetBehaviour(func(b *Behaviour) { b.Reset = 0 })
