--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -14,19 +14,20 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// Figures are the totals of a run after its warm-up. Fractions are between 0 and 1.
+// Figures are the totals of a run after its warm-up. Fractions are between 0 and 1. A client attempt is one send of a
+// request by its client, a server attempt one send by a sidecar.
 type Figures struct {
-	Requests         int     `json:"requests"`     // of clients, without retries
-	InObjective      float64 `json:"in_aim"`       // priority weight answered within the latency objective / weight of all requests
-	WorstInObjective float64 `json:"worst_in_aim"` // the same in the worst span of worstSpanLength
-	Rejected         float64 `json:"refused"`      // fraction of client attempts
-	Failed           float64 `json:"failed"`       // fraction of client attempts: errors, timeouts, lost connections
-	ClientAttempts   float64 `json:"tries_per_request"`
-	ServerAttempts   float64 `json:"attempts_per_try"` // of the client attempts that reached a server
-	CrossZone        float64 `json:"cross_zone"`       // fraction of server attempts in another zone
-	MinCrossZone     float64 `json:"cross_zone_least"` // the fraction that capacity alone requires, without faults
-	Waste            float64 `json:"waste"`            // fraction of the servers' work that led to no correct answer
-	P50              float64 `json:"p50_ms"`           // of correct answers, from the planned time of the request
+	Requests         int     `json:"requests"`          // requests of clients, not counting retries
+	InObjective      float64 `json:"in_aim"`            // fraction served within the latency objective, by priority weight
+	WorstInObjective float64 `json:"worst_in_aim"`      // lowest InObjective of any span of worstSpanLength
+	Rejected         float64 `json:"refused"`           // fraction of client attempts with status 429 or 503
+	Failed           float64 `json:"failed"`            // fraction of client attempts with an error, a timeout or a lost connection
+	ClientAttempts   float64 `json:"tries_per_request"` // client attempts per request
+	ServerAttempts   float64 `json:"attempts_per_try"`  // server attempts per client attempt that reached a server
+	CrossZone        float64 `json:"cross_zone"`        // fraction of server attempts to a zone other than the sidecar's
+	MinCrossZone     float64 `json:"cross_zone_least"`  // CrossZone that the zones' capacities require without faults
+	Waste            float64 `json:"waste"`             // fraction of the servers' work that led to no correct response
+	P50              float64 `json:"p50_ms"`            // latency of correct responses from the planned time of the request
 	P90              float64 `json:"p90_ms"`
 	P99              float64 `json:"p99_ms"`
 	P999             float64 `json:"p999_ms"`
@@ -47,8 +48,8 @@
 	From        float64 `json:"from_s"`
 	Offered     int     `json:"offered"`
 	InObjective float64 `json:"in_aim"`
-	Rejected    float64 `json:"refused"` // fraction of client attempts
-	Failed      float64 `json:"failed"`
+	Rejected    float64 `json:"refused"` // fraction of client attempts with status 429 or 503
+	Failed      float64 `json:"failed"`  // fraction of client attempts with an error, a timeout or a lost connection
 	P99         float64 `json:"p99_ms"`
 
 	offeredWeight, servedWeight float64
@@ -60,32 +61,32 @@
 	CPU         float64 `json:"cpu_s"`
 	PeakRSS     float64 `json:"peak_rss_mb"`
 	LastRSS     float64 `json:"last_rss_mb"`
-	RSSGrowth   float64 `json:"growth"` // of the RSS over the second half of the run; 0.1 is 10%
-	Descriptors int     `json:"descriptors"`
-	Requests    int     `json:"requests"`
+	RSSGrowth   float64 `json:"growth"`      // growth of the RSS over the second half of the run, 0.1 for 10%
+	Descriptors int     `json:"descriptors"` // highest number of open file descriptors
+	Requests    int     `json:"requests"`    // client attempts sent to the process
 }
 
-// FaultSpan is the time of a fault on the timeline.
+// FaultSpan is the span of a fault on the timeline. Text is the kind of the fault.
 type FaultSpan struct {
 	From float64 `json:"from_s"`
 	To   float64 `json:"to_s"`
 	Text string  `json:"text"`
 }
 
-// Result has all that is measured of a run.
+// Result has all figures of a run.
 type Result struct {
 	Figures      Figures      `json:"figures"`
 	Classes      []Class      `json:"classes"`
 	Timeline     []Window     `json:"timeline"`
 	Sidecars     []Process    `json:"sidecars"`
 	Lab          Process      `json:"lab"`
-	Servers      []int        `json:"server_attempts"` // attempts of each server
+	Servers      []int        `json:"server_attempts"` // by server, including the warm-up
 	Faults       []FaultSpan  `json:"faults"`
 	Percentiles  []Percentile `json:"percentiles"`
 	windowLength time.Duration
 }
 
-// Percentile is one point of the latency distribution.
+// Percentile is one point of the latency distribution. Quantile is in percent.
 type Percentile struct {
 	Quantile float64 `json:"quantile"`
 	MS       float64 `json:"ms"`
@@ -102,8 +103,8 @@
 )
 
 const (
-	maxLatencyMicros = 60e6
-	latencyDigits    = 3 // significant digits of a recorded latency
+	maxLatencyMicros = 60e6 // highest latency that a histogram records
+	latencyDigits    = 3    // significant digits of a recorded latency
 	microsPerMilli   = 1000
 	bytesPerMiB      = 1 << 20
 )
@@ -113,17 +114,19 @@
 	return hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
 }
 
-// observe adds the latency of a served request to a histogram, which it makes if needed.
-func observe(h **hdrhistogram.Histogram, served time.Duration) {
+// recordLatency adds the latency of a served request to a histogram, which it makes if *h is nil. A latency of 0 stands
+// for a request that was not served and is skipped.
+func recordLatency(h **hdrhistogram.Histogram, served time.Duration) {
 	if served <= 0 {
 		return
 	}
 	if *h == nil {
 		*h = newHistogram()
 	}
-	_ = (*h).RecordValue(served.Microseconds()) // fails only over maxLatencyMicros, longer than any deadline
+	_ = (*h).RecordValue(served.Microseconds()) // fails only above maxLatencyMicros, which exceeds any deadline
 }
 
+// quantileMS returns a quantile, given in percent, of a histogram in milliseconds, or 0 if the histogram is empty.
 func quantileMS(h *hdrhistogram.Histogram, q float64) float64 {
 	if h.TotalCount() == 0 {
 		return 0
@@ -133,7 +136,7 @@
 
 // requestOutcome is the outcome of one arrival.
 type requestOutcome struct {
-	served time.Duration // after its planned time; 0: never
+	served time.Duration // time from the planned time to the first correct response, 0 if there was none
 }
 
 // collector accumulates the events of a run. windowAttempts, usefulWork and the counts in result.Servers and
@@ -143,19 +146,20 @@
 	result *Result
 	warmUp time.Duration
 
-	outcomes                             []requestOutcome // by arrival
-	attempts, rejected, failed           int              // of clients
-	windowAttempts, windowRejected       []int            // by window
+	outcomes                             []requestOutcome // by index of the arrival
+	attempts, rejected, failed           int              // client attempts
+	windowAttempts, windowRejected       []int            // client attempts by window
 	windowFailed                         []int
 	serverAttempts, forwarded, crossZone int
 	forwardedIDs                         map[uint64]bool // client attempts that reached a server
 	endedIDs                             map[uint64]bool // client attempts counted as rejected or failed
-	usefulWork                           float64
-	rss                                  [][]rssSample // by sidecar
+	usefulWork                           float64         // work of the requests that were served
+	rss                                  [][]rssSample   // by sidecar
 }
 
-// Compute measures a run from its records; worked is the work that all servers did.
-func Compute(p *scenario.Plan, events []record.Event, worked float64) *Result {
+// Compute computes the figures of a run from its recorded events. The parameter workDone is the work that all servers
+// did.
+func Compute(p *scenario.Plan, events []record.Event, workDone float64) *Result {
 	c := newCollector(p)
 	for i := range events {
 		c.add(&events[i])
@@ -165,7 +169,7 @@
 	}
 	c.measureLatency()
 	c.finishTimeline()
-	c.finishFigures(worked)
+	c.finishFigures(workDone)
 	for _, f := range p.Faults {
 		c.result.Faults = append(c.result.Faults, FaultSpan{f.At.Seconds(), f.Until.Seconds(), f.Fault.Kind})
 	}
@@ -175,26 +179,26 @@
 func newCollector(p *scenario.Plan) *collector {
 	length := p.Scenario.Length.Duration()
 	window := max(length/timelineWindows, minWindow).Round(windowRounding)
-	out := &Result{
+	result := &Result{
 		Servers: make([]int, len(p.Servers)), Sidecars: make([]Process, len(p.Sidecars)), windowLength: window,
 		Timeline: make([]Window, int(length/window)+1),
 	}
-	for i := range out.Sidecars {
-		out.Sidecars[i].Name = p.Sidecars[i].Name
+	for i := range result.Sidecars {
+		result.Sidecars[i].Name = p.Sidecars[i].Name
 	}
-	out.Lab.Name = "lab"
-	for i := range out.Timeline {
-		out.Timeline[i].From = (time.Duration(i) * window).Seconds()
+	result.Lab.Name = "lab"
+	for i := range result.Timeline {
+		result.Timeline[i].From = (time.Duration(i) * window).Seconds()
 	}
-	n := len(out.Timeline)
+	n := len(result.Timeline)
 	return &collector{
-		plan: p, result: out, warmUp: p.Scenario.WarmUp.Duration(), outcomes: make([]requestOutcome, len(p.Arrivals)),
+		plan: p, result: result, warmUp: p.Scenario.WarmUp.Duration(), outcomes: make([]requestOutcome, len(p.Arrivals)),
 		windowAttempts: make([]int, n), windowRejected: make([]int, n), windowFailed: make([]int, n),
 		forwardedIDs: map[uint64]bool{}, endedIDs: map[uint64]bool{}, rss: make([][]rssSample, len(p.Sidecars)),
 	}
 }
 
-// windowAt is the index of the window that has a time; the last window has all later times.
+// windowAt returns the index of the window that contains a time. All times after the timeline are in the last window.
 func (c *collector) windowAt(t time.Duration) int {
 	return min(int(t/c.result.windowLength), len(c.result.Timeline)-1)
 }
@@ -205,7 +209,7 @@
 		c.addAttempt(e)
 		c.result.Sidecars[e.Sidecar].Requests++
 	case record.ResponseReceived:
-		c.addAnswer(e)
+		c.addResponse(e)
 	case record.NotSent:
 		c.addAttempt(e)
 		c.addFailed(e)
@@ -225,7 +229,7 @@
 	c.windowAttempts[c.windowAt(e.T)]++
 }
 
-func (c *collector) addAnswer(e *record.Event) {
+func (c *collector) addResponse(e *record.Event) {
 	a := &c.plan.Arrivals[e.N]
 	switch {
 	case e.Status == http.StatusOK && e.Sum == e.Want:
@@ -234,7 +238,7 @@
 			c.usefulWork += a.Work
 		}
 	case e.Status == http.StatusTooManyRequests || e.Status == http.StatusServiceUnavailable:
-		if c.endsAttempt(e) {
+		if c.markUnsuccessful(e) {
 			c.windowRejected[c.windowAt(e.T)]++
 			c.rejected++
 		}
@@ -244,14 +248,15 @@
 }
 
 func (c *collector) addFailed(e *record.Event) {
-	if c.endsAttempt(e) {
+	if c.markUnsuccessful(e) {
 		c.windowFailed[c.windowAt(e.T)]++
 		c.failed++
 	}
 }
 
-// endsAttempt tells whether an event after the warm-up is the first one that ends its client attempt without success.
-func (c *collector) endsAttempt(e *record.Event) bool {
+// markUnsuccessful marks the client attempt of an event as ended without success. It returns whether the attempt counts
+// now: the event is after the warm-up, and the attempt had not been marked before.
+func (c *collector) markUnsuccessful(e *record.Event) bool {
 	if e.T < c.warmUp || c.endedIDs[e.Request] {
 		return false
 	}
@@ -286,7 +291,8 @@
 	process.Descriptors = max(process.Descriptors, int(e.Status))
 }
 
-// measureLatency sets what depends on the outcomes of the arrivals: latencies, and the weights answered in time.
+// measureLatency sets the figures that depend on the outcomes of the arrivals: the latencies, and the fractions served
+// within the objective.
 func (c *collector) measureLatency() {
 	s, out := c.plan.Scenario, c.result
 	all := newHistogram()
@@ -306,7 +312,7 @@
 		if inObjective {
 			window.servedWeight += class.PriorityWeight
 		}
-		observe(&windows[w], served)
+		recordLatency(&windows[w], served)
 		if a.At < c.warmUp {
 			continue
 		}
@@ -317,8 +323,8 @@
 			servedWeight += class.PriorityWeight
 			classInObjective[a.Class]++
 		}
-		observe(&all, served)
-		observe(&classes[a.Class], served)
+		recordLatency(&all, served)
+		recordLatency(&classes[a.Class], served)
 	}
 	for i := range out.Classes {
 		class := &out.Classes[i]
@@ -342,7 +348,7 @@
 	}
 }
 
-// finishTimeline sets the ratios of each window, and drops an empty last window.
+// finishTimeline sets the fractions of each window, and removes the last window if it is empty.
 func (c *collector) finishTimeline() {
 	out := c.result
 	for i := range out.Timeline {
@@ -356,8 +362,8 @@
 	}
 }
 
-// finishFigures sets the ratios of the run. It needs the finished timeline.
-func (c *collector) finishFigures(worked float64) {
+// finishFigures sets the ratios of the whole run. Call it after finishTimeline.
+func (c *collector) finishFigures(workDone float64) {
 	f, attempts := &c.result.Figures, float64(c.attempts)
 	f.WorstInObjective = c.result.worstInObjective(c.warmUp)
 	f.Rejected, f.Failed = ratio(float64(c.rejected), attempts, 0), ratio(float64(c.failed), attempts, 0)
@@ -365,23 +371,24 @@
 	f.ServerAttempts = ratio(float64(c.serverAttempts), float64(c.forwarded), 0)
 	f.CrossZone = ratio(float64(c.crossZone), float64(c.serverAttempts), 0)
 	f.MinCrossZone = c.plan.MinCrossZone()
-	f.Waste = math.Max(1-ratio(c.usefulWork, worked, 1), 0)
+	f.Waste = math.Max(1-ratio(c.usefulWork, workDone, 1), 0)
 }
 
+// rssSample is the resident set size of a process in bytes at a time since the start of the run.
 type rssSample struct {
 	at  time.Duration
 	rss float64
 }
 
-// rssGrowth compares the median RSS of the last eighth with that right after the middle, so that a single sample
-// has no effect. With fewer than 8 samples in the second half it returns 0.
+// rssGrowth returns the relative growth of the RSS from the first quarter of the samples after the middle to their last
+// quarter. It compares medians, so that a single sample has no effect. It returns 0 for fewer than 8 such samples.
 func rssGrowth(samples []rssSample, middle time.Duration) float64 {
 	i := slices.IndexFunc(samples, func(s rssSample) bool { return s.at >= middle })
 	if i < 0 || len(samples)-i < 8 {
 		return 0
 	}
-	late := samples[i:]
-	n := max(len(late)/4, 1)
+	secondHalf := samples[i:]
+	n := max(len(secondHalf)/4, 1)
 	median := func(s []rssSample) float64 {
 		v := make([]float64, len(s))
 		for i := range s {
@@ -390,28 +397,30 @@
 		slices.Sort(v)
 		return v[len(v)/2]
 	}
-	return median(late[len(late)-n:])/median(late[:n]) - 1
+	return median(secondHalf[len(secondHalf)-n:])/median(secondHalf[:n]) - 1
 }
 
-// worstInObjective is the lowest weighted fraction over any span of worstSpanLength, or over all if the run is shorter.
+// worstInObjective returns the lowest fraction served within the objective, by priority weight, over any span of
+// worstSpanLength after a time, or over the whole rest if that is shorter.
 func (r *Result) worstInObjective(from time.Duration) float64 {
-	lines := r.Timeline[min(int(from/r.windowLength), len(r.Timeline)):]
-	n := min(int(worstSpanLength/r.windowLength), len(lines))
+	windows := r.Timeline[min(int(from/r.windowLength), len(r.Timeline)):]
+	n := min(int(worstSpanLength/r.windowLength), len(windows))
 	worst := 1.0
-	for i := 0; n > 0 && i+n <= len(lines); i++ {
+	for i := 0; n > 0 && i+n <= len(windows); i++ {
 		offered, served := 0.0, 0.0
-		for _, l := range lines[i : i+n] {
-			offered += l.offeredWeight
-			served += l.servedWeight
+		for _, w := range windows[i : i+n] {
+			offered += w.offeredWeight
+			served += w.servedWeight
 		}
 		worst = math.Min(worst, ratio(served, offered, 1))
 	}
 	return worst
 }
 
-func ratio(part, all, otherwise float64) float64 {
+// ratio returns part/all, or ifEmpty if all is not positive.
+func ratio(part, all, ifEmpty float64) float64 {
 	if all <= 0 {
-		return otherwise
+		return ifEmpty
 	}
 	return part / all
 }
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -1,8 +1,8 @@
-// Package record stores the events that the parties of a run observe, with times of one clock. The checkers and the
-// report use only these events.
+// Package record stores the events that the parties of a run observe (clients, servers, discovery and the lab itself),
+// with times of one clock. The invariant checks and the report use only these events.
 //
-// Each event is stored once, in the order of its party; [Log.Events] returns all events sorted by time. Memory
-// grows by the size of an event for each, and is bounded by the length of the run.
+// Each event is stored once, in the order in which its party added it. [Log.Events] returns all events sorted by time.
+// Memory grows with the number of events, so only the length of the run bounds it.
 package record
 
 import (
@@ -15,82 +15,95 @@
 // Kind is the type of an event.
 type Kind uint8
 
-// The kinds of events; each comment lists the fields that are set besides T.
+// The kinds of events. Each comment lists the fields that are set besides T, then what the event means.
 const (
-	// Observed by clients; N is the index of the arrival in the plan.
-	Sent           Kind = iota + 1 // Request, Sidecar, Class, Attempt (from 1), Sum (body), Work (the client's timeout in ms)
-	ResponseReceived                       // Request, Sidecar, Status, Sum (body), Want (sum of the expected body)
-	ConnectionLost                 // Request, Sidecar, Note: its connection ended without a complete answer
-	Overdue                        // Request, Sidecar: its timeout expired; the client still reads for a grace period
-	NoResponse                       // Request, Sidecar: no answer in the grace period either, or the run ended
-	ClientDisconnected                     // Request, Sidecar, Note (how): the client left before its timeout
-	NotSent                        // Request, Sidecar, Note: it could not be written completely
-	ExtraBytes                     // Request, Sidecar: unexpected bytes after a complete answer
+	// Observed by clients. N is the index of the arrival in the plan.
+	Sent               Kind = iota + 1 // Request, Sidecar, Class, Attempt (from 1), Sum (body), Work (the client's timeout in ms)
+	ResponseReceived                   // Request, Sidecar, Status, Sum (body), Want (sum of the expected body)
+	ConnectionLost                     // Request, Sidecar, Note: the connection ended without a complete response
+	Overdue                            // Request, Sidecar: the timeout expired, and the client still reads for a grace period
+	NoResponse                         // Request, Sidecar, Note: no response in the grace period either, or the run ended
+	ClientDisconnected                 // Request, Sidecar, Note (how): the client closed its connection before its timeout
+	NotSent                            // Request, Sidecar, Note: the request could not be written completely
+	ExtraBytes                         // Request, Sidecar: unexpected bytes after a complete response
 	// Observed by servers.
-	FirstByte      // Request, Sidecar, Server, Attempt, N (X-Timeout-Ms; 0: none)
-	LastByte       // Request, Sidecar, Server, Attempt, Sum (body): the attempt is complete
-	Rejected       // Request, Sidecar, Server, Attempt: answered X-Not-Processed
-	WorkStarted    // Request, Sidecar, Server, Attempt: its work has started
-	ResponseSent        // Request, Sidecar, Server, Attempt, Status: the answer's last byte is written
-	SidecarClosed  // Request, Sidecar, Server, Attempt: the sidecar closed before an answer
+	FirstByte      // Request, Sidecar, Server, Attempt, N (X-Timeout-Ms, 0 without the header)
+	LastByte       // Request, Sidecar, Server, Attempt, Sum (body): the request has been read completely
+	Rejected       // Request, Sidecar, Server, Attempt: responded with X-Not-Processed
+	WorkStarted    // Request, Sidecar, Server, Attempt: the work for the attempt has started
+	ResponseSent   // Request, Sidecar, Server, Attempt, Status: the last byte of the response is written
+	SidecarClosed  // Request, Sidecar, Server, Attempt: the sidecar closed the connection before a response
 	UnknownRequest // Request, Sidecar, Server, Note: no client sent this request
-	OverloadCrash  // Server, Note: a server in slow start crashed under overload
+	OverloadCrash  // Server, Request, Sidecar, Note: a server in slow start crashed under overload
 	ServerState    // Server, Note
 	// Observed by discovery.
 	Notified // Sidecar, Server, Note: the state written to the sidecar, N (start time of the server, Unix ms)
-	// Observed by the lab in an answer of the list service's replica Server; Status is the index of a rollout in the plan.
-	RoutesObserved  // Rev: a routing table of this revision exists
-	RevisionClosed  // Rev: no attempt starts any more under this revision or an older one
-	RolloutFraction // Rev, Status, Work (fraction), Attempt (step): a rollout's state in the table of this revision
-	RolloutPhase    // Rev (of its last change), Status, Attempt (step), Note (phase), N (units neither held nor spent), Sum (granted), Want (spent)
-	// Observed by the lab in a membership status. Sidecar is the index of the party: first the sidecars, then the replicas
-	// of the list service; Sum is the number of its process.
-	MembershipStatus // N (start), Want (duration of the answer in ns), Status (known), Attempt (reachable), Work (accepted), Canary (admitted), Class (1: forced), Rev (changes), Server (members listed), Note: invariant.MemberLeft
-	MemberStatus     // N (the member's start), Want, Note: its state, name and proof, if changed since the last status of this process
-	MemberProcess    // Note: invariant.MemberServes, MemberLeaves, MemberEnded
+	// Observed by the lab in a response of the list service's replica Server. Status is the index of a rollout in the
+	// plan.
+	RoutesObserved  // Rev: the replica serves a route table of this revision
+	RevisionClosed  // Rev: no new attempt starts under this revision or an older one
+	RolloutFraction // Rev, Status, Work (fraction), Attempt (step): the state of a rollout in the route table of this revision
+	// Rev (of the rollout's last change), Status, Attempt (step), Note (phase), N (units neither held nor spent),
+	// Sum (granted), Want (spent)
+	RolloutPhase
+	// Observed by the lab in a membership status. Sidecar is the index of the party, counting the sidecars first and
+	// then the replicas of the list service. Sum is the number of the party's process.
+	//
+	// N (start), Want (time until the response in ns), Status (known), Attempt (reachable), Work (accepted),
+	// Canary (admitted), Class (1: forced), Rev (changes), Server (members listed), Note (invariant.MemberLeft)
+	MembershipStatus
+	// N (the member's start), Want, Note (the member's state, name and proof). Stored if they changed since the last
+	// status of this process.
+	MemberStatus
+	MemberProcess // Note (invariant.MemberServes, MemberLeaves or MemberEnded)
 	// Observed by the lab itself.
 	Process // Sidecar, Status (process id), Note
 	Fault   // Status (1: starts, 2: ends, 0: instantaneous), Note
 	Sample  // Sidecar, N (RSS in bytes), Status (descriptors), Work (CPU seconds so far)
 )
 
+// kindTexts has the text of each kind in a line of [Event.String].
 var kindTexts = map[Kind]string{
-	Sent: "client sends", ResponseReceived: "client is answered", ConnectionLost: "client's connection ends", ClientDisconnected: "client gives up", Overdue: "client's time is over",
-	NoResponse: "client has heard nothing", NotSent: "client cannot send",
-	ExtraBytes: "client hears more than its answer", FirstByte: "server hears first byte", LastByte: "server has last byte",
-	Rejected: "server turns away", WorkStarted: "server runs", ResponseSent: "server has answered", SidecarClosed: "server sees a close",
-	UnknownRequest: "server hears what no client sent", OverloadCrash: "server falls over", ServerState: "server", Notified: "list tells",
-	RoutesObserved: "routes are told", RevisionClosed: "revision is said to be closed", RolloutFraction: "share is told", RolloutPhase: "rollout is said to be",
-	MembershipStatus: "process says of the fleet", MemberStatus: "process says that", MemberProcess: "member",
+	Sent: "client sent the request", ResponseReceived: "client received a response", ConnectionLost: "client lost its connection",
+	ClientDisconnected: "client disconnected", Overdue: "client timed out",
+	NoResponse: "client received no response", NotSent: "client failed to send the request",
+	ExtraBytes: "client received bytes after its response", FirstByte: "server received the first byte", LastByte: "server received the last byte",
+	Rejected: "server rejected the attempt", WorkStarted: "server started the work", ResponseSent: "server sent its response",
+	SidecarClosed:  "sidecar closed the connection",
+	UnknownRequest: "server received an unknown request", OverloadCrash: "server crashed under overload", ServerState: "server",
+	Notified:       "sidecar notified of server state",
+	RoutesObserved: "route table observed", RevisionClosed: "route table revision closed", RolloutFraction: "rollout fraction observed",
+	RolloutPhase:     "rollout phase observed",
+	MembershipStatus: "membership status observed", MemberStatus: "member status observed", MemberProcess: "member",
 	Process: "process", Fault: "fault", Sample: "sample",
 }
 
-// String returns the text of the kind in an event line.
+// String returns the text of the kind in a line of [Event.String].
 func (k Kind) String() string { return kindTexts[k] }
 
-// RunEnded is the note of a NoAnswer event whose client was cut short by the end of the run.
+// RunEnded is the note of a NoResponse event whose client was interrupted by the end of the run.
 const RunEnded = "the run was ended"
 
-// None is the value of Sidecar, Server or Class of an event without one.
+// None is the value of Sidecar, Server or Class in an event that has no sidecar, server or class.
 const None = -1
 
-// Event is one observation of one party. [Kind] documents which fields are set.
+// Event is one observation of one party. The constants of type [Kind] document which fields are set.
 type Event struct {
-	T       time.Duration // since the start of the run
-	Request uint64        // 0: none
-	Sum     uint64        // of a body
-	Want    uint64        // expected Sum
-	N       int64
-	Work    float64
-	Sidecar int32
-	Server  int32
-	Status  int32
-	Rev     int64 // routing table revision that an attempt used (0: none), or that a party reported
-	Class   int16
-	Attempt int16
-	Tenant  int16 // of FirstByte and LastByte
+	T       time.Duration // time since the start of the run
+	Request uint64        // ID of the client's attempt, 0 without one
+	Sum     uint64        // hash of a body by [Sum], or as Kind documents
+	Want    uint64        // expected Sum, or as Kind documents
+	N       int64         // as Kind documents
+	Work    float64       // as Kind documents
+	Sidecar int32         // index in the plan, None without one, or as Kind documents
+	Server  int32         // index in the plan, None without one, or as Kind documents
+	Status  int32         // HTTP status of a response, or as Kind documents
+	Rev     int64         // route table revision that an attempt used (0 without one), or that a party reported
+	Class   int16         // index in the scenario, None without one, or as Kind documents
+	Attempt int16         // the client's attempt in Sent, the server's connection in events of servers, or as Kind documents
+	Tenant  int16         // index of the tenant, set in FirstByte and LastByte
 	Kind    Kind
-	Canary  bool // of FirstByte and LastByte: the sidecar marked the attempt as canary traffic
+	Canary  bool // the sidecar marked the attempt as canary traffic, set in FirstByte and LastByte
 	Note    string
 }
 
@@ -133,14 +146,16 @@
 	return s
 }
 
+// shardCount is the number of parts of a log with a lock each, so that parties rarely wait for each other.
 const shardCount = 16
 
-// Log collects events and is safe for concurrent use.
+// Log collects events. It is safe for concurrent use.
 type Log struct {
 	started time.Time
 	shards  [shardCount]shard
 }
 
+// shard is the part of a log that holds the events of some requests.
 type shard struct {
 	mu     sync.Mutex
 	events []Event
@@ -150,7 +165,7 @@
 // New makes an empty log and starts its clock.
 func New() *Log { return &Log{started: time.Now()} }
 
-// Now is the time since the start of the log on the monotonic clock.
+// Now returns the time since the start of the log, by the monotonic clock.
 func (l *Log) Now() time.Duration { return time.Since(l.started) }
 
 // Add stores an event; T is set to Now if it is zero.
@@ -158,10 +173,10 @@
 	if e.T == 0 {
 		e.T = l.Now()
 	}
-	p := &l.shards[(e.Request^e.Request>>8^uint64(uint32(e.Sidecar)))%shardCount]
-	p.mu.Lock()
-	p.events = append(p.events, e)
-	p.mu.Unlock()
+	s := &l.shards[(e.Request^e.Request>>8^uint64(uint32(e.Sidecar)))%shardCount]
+	s.mu.Lock()
+	s.events = append(s.events, e)
+	s.mu.Unlock()
 }
 
 // Count returns the number of events.
@@ -187,7 +202,7 @@
 	return all
 }
 
-// Sum is the hash by which bodies are compared (FNV-1a, 64 bits).
+// Sum returns the hash by which bodies are compared (FNV-1a, 64 bits).
 func Sum(body []byte) uint64 {
 	hash := uint64(14695981039346656037)
 	for _, c := range body {
--- a/internal/lab/simclock/simclock.go
+++ b/internal/lab/simclock/simclock.go
@@ -1,56 +1,59 @@
-// Package simclock is a simulated clock: what is to happen at a time happens in the order of times, and what is set
-// for the same time in the order in which it was set, so that a run is its seed's.
+// Package simclock is a simulated clock that runs scheduled functions in the order of their times. Functions scheduled
+// for the same time run in the order in which they were scheduled, so that a seed determines the whole run.
 package simclock
 
 import "container/heap"
 
-// Clock holds what is still to happen. Times are milliseconds; the zero value stands at 0.
+// Clock is a simulated clock with its scheduled functions. Times are in milliseconds. The zero value starts at 0.
 type Clock struct {
-	now   float64
-	made  int
-	queue events
+	now       float64
+	scheduled int
+	queue     events
 }
 
+// event is one scheduled function.
 type event struct {
-	at float64
-	n  int
-	do func()
+	at       float64
+	sequence int
+	run      func()
 }
 
-// Now is the time of what happens now.
+// Now returns the current simulated time.
 func (c *Clock) Now() float64 { return c.now }
 
-// At lets something happen at a time; one that is past is now.
+// At schedules a function for time t. If t has passed, the function is scheduled for the current time.
 func (c *Clock) At(t float64, do func()) {
-	c.made++
-	heap.Push(&c.queue, event{at: max(t, c.now), n: c.made, do: do})
+	c.scheduled++
+	heap.Push(&c.queue, event{at: max(t, c.now), sequence: c.scheduled, run: do})
 }
 
-// After lets something happen so long from now.
+// After schedules a function to run ms milliseconds from now.
 func (c *Clock) After(ms float64, do func()) { c.At(c.now+ms, do) }
 
-// Step lets the next thing happen and tells whether there was one by the given time.
+// Step advances the clock to the next scheduled function and runs it. It returns false, and changes nothing, if no
+// function is scheduled up to the given time.
 func (c *Clock) Step(until float64) bool {
 	if len(c.queue) == 0 || c.queue[0].at > until {
 		return false
 	}
 	e := heap.Pop(&c.queue).(event)
 	c.now = e.at
-	e.do()
+	e.run()
 	return true
 }
 
+// events is the queue of a clock, a heap for [container/heap].
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(v any)   { *e = append(*e, v.(event)) }
 func (e *events) Pop() any {
 	last := (*e)[len(*e)-1]
-	(*e)[len(*e)-1] = event{} // its function may hold much
+	(*e)[len(*e)-1] = event{} // releases the function and what it refers to
 	*e = (*e)[:len(*e)-1]
 	return last
 }
--- a/internal/lab/simulate/client_request.go
+++ b/internal/lab/simulate/client_request.go
@@ -17,32 +17,33 @@
 	number          int
 	arrival         *scenario.Arrival
 	rng             *rand.Rand
-	deadline        float64
-	obeysRetryAfter bool
-	attempts        int
+	deadline        float64 // simulated time in ms
+	obeysRetryAfter bool    // the client waits for the time of a Retry-After
+	attempts        int     // number of attempts made
 }
 
+// startRequest starts the request of an arrival. The number is the index of the arrival in the plan.
 func (sim *simulation) startRequest(number int, a *scenario.Arrival) {
 	r := &clientRequest{sim: sim, number: number, arrival: a, rng: rand.New(rand.NewPCG(a.Seed, uint64(number)))}
-	r.deadline = sim.Now() + r.relativeDeadline()
+	r.deadline = sim.Now() + r.deadlineAfterArrival()
 	r.obeysRetryAfter = r.rng.Float64() < sim.scenario.Traffic.ObeysRetryAfter
 	r.attempt()
 }
 
-// relativeDeadline is the time in ms from the arrival to the deadline.
-func (r *clientRequest) relativeDeadline() float64 {
+// deadlineAfterArrival returns the time in ms from the arrival to the deadline.
+func (r *clientRequest) deadlineAfterArrival() float64 {
 	s := r.sim.scenario
 	return ms(s.Scaled(s.Classes[r.arrival.Class].Deadline))
 }
 
-// attempt sends the request to a sidecar, if a retry and time are left.
+// attempt sends the request to a sidecar, unless the retries are used up or less than 1 ms is left.
 func (r *clientRequest) attempt() {
 	if r.attempts > r.sim.scenario.Traffic.Retries {
 		return
 	}
 	r.attempts++
 	timeout := r.drawTimeout()
-	leaveAfter := r.drawEarlyLeave(timeout)
+	disconnectAfter := r.drawDisconnectDelay(timeout)
 	if timeout < 1 {
 		return
 	}
@@ -54,16 +55,16 @@
 	a := &clientAttempt{request: r, sidecar: sidecar, id: r.rng.Uint64()>>12 | 1, deadline: r.sim.Now() + timeout}
 	sidecar.attempts[balance.RequestID(a.id)] = a
 	a.record(record.Sent, record.Event{Attempt: int16(r.attempts), Sum: 1})
-	if leaveAfter > 0 {
-		r.sim.After(leaveAfter, a.leave)
+	if disconnectAfter > 0 {
+		r.sim.After(disconnectAfter, a.disconnect)
 	}
 	r.sim.After(timeout, a.timeOut)
-	r.sim.After(timeout+lateAnswerWait, a.stopListening)
+	r.sim.After(timeout+lateResponseWait, a.stopReading)
 	sidecar.handle(balance.Request{ID: balance.RequestID(a.id), Class: r.arrival.Class, Tenant: r.arrival.Tenant,
 		Remaining: timeout, ClientRetry: r.attempts > 1})
 }
 
-// drawTimeout draws the time in ms that the next attempt may take.
+// drawTimeout draws the timeout of the next attempt in ms.
 func (r *clientRequest) drawTimeout() float64 {
 	traffic := &r.sim.scenario.Traffic
 	noise := 0.9 + 0.2*r.rng.Float64()
@@ -71,18 +72,19 @@
 	if traffic.Retries == 0 {
 		return left
 	}
-	return math.Min(r.relativeDeadline()*math.Min(traffic.AttemptTimeoutFraction*noise, 1), left)
+	return math.Min(r.deadlineAfterArrival()*math.Min(traffic.AttemptTimeoutFraction*noise, 1), left)
 }
 
-// drawEarlyLeave draws the time in ms after which the client leaves before its timeout; 0: it does not.
-func (r *clientRequest) drawEarlyLeave(timeout float64) float64 {
+// drawDisconnectDelay draws the time in ms after which the client disconnects before its timeout. It returns 0 if the
+// client does not.
+func (r *clientRequest) drawDisconnectDelay(timeout float64) float64 {
 	if r.rng.Float64() < r.sim.scenario.Traffic.EarlyLeaveFraction {
 		return timeout * r.rng.Float64()
 	}
 	return 0
 }
 
-// runningSidecar is the client's sidecar, or another one while that is down; nil: none runs.
+// runningSidecar returns the client's sidecar, or a random running one while that is down. It returns nil if none runs.
 func (r *clientRequest) runningSidecar() *sidecar {
 	sidecar := r.sim.sidecars[r.arrival.Sidecar]
 	if sidecar.down {
@@ -91,7 +93,8 @@
 	return sidecar
 }
 
-// scheduleRetry lets the client send again after its backoff, or the time of a Retry-After that it waits for.
+// scheduleRetry schedules the client's next attempt after its backoff. If the client obeys Retry-After and retryAfter
+// (in ms) is positive, the attempt follows after that time instead.
 func (r *clientRequest) scheduleRetry(retryAfter float64) {
 	wait := ms(r.sim.scenario.Scaled(r.sim.scenario.Traffic.Backoff))
 	if r.obeysRetryAfter && retryAfter > 0 {
@@ -100,16 +103,16 @@
 	r.sim.After(wait, r.attempt)
 }
 
-// clientAttempt is one attempt of a request at a sidecar, under an ID of its own.
+// clientAttempt is one attempt of a client request at a sidecar. Each attempt has its own ID.
 type clientAttempt struct {
 	request    *clientRequest
 	sidecar    *sidecar
 	id         uint64
-	deadline   float64
-	clientDone bool // its client has left, has timed out, or has its answer
-	overdue    bool // its client has timed out and still reads
-	final      bool // it has its final answer, or no client reads
-	attempts   []*serverAttempt
+	deadline   float64          // simulated time in ms
+	clientDone bool             // the client has disconnected, timed out or received its response
+	overdue    bool             // the client has timed out and still reads
+	final      bool             // the final response is sent, or the client no longer reads
+	attempts   []*serverAttempt // in the order of their sends
 }
 
 func (c *clientAttempt) record(k record.Kind, e record.Event) {
@@ -118,18 +121,19 @@
 	c.request.sim.record(e)
 }
 
-// leave ends the attempt before its timeout: the client closes its connection.
-func (c *clientAttempt) leave() {
+// disconnect closes the client's connection before the attempt's timeout.
+func (c *clientAttempt) disconnect() {
 	if c.clientDone {
 		return
 	}
 	c.clientDone = true
 	c.record(record.ClientDisconnected, record.Event{})
-	c.forget()
+	c.finish()
 	c.sidecar.handle(balance.ClientDisconnected{Request: balance.RequestID(c.id)})
 	c.request.scheduleRetry(0)
 }
 
+// timeOut ends the client's wait for a response. The client still reads for lateResponseWait, and may retry.
 func (c *clientAttempt) timeOut() {
 	if c.clientDone {
 		return
@@ -139,16 +143,17 @@
 	c.request.scheduleRetry(0)
 }
 
-// stopListening ends the time in which a client that has timed out still reads.
-func (c *clientAttempt) stopListening() {
+// stopReading ends the time in which a client still reads after its timeout.
+func (c *clientAttempt) stopReading() {
 	if c.overdue && !c.final {
 		c.record(record.NoResponse, record.Event{Note: "nothing"})
-		c.forget()
+		c.finish()
 	}
 }
 
-// answer is the sidecar's final answer. The attempt is nil if its client has left.
-func (c *clientAttempt) answer(status int, retryAfter float64) {
+// respond sends the sidecar's final response to the client. The attempt is nil if it has been removed from its sidecar,
+// for example because the client has disconnected.
+func (c *clientAttempt) respond(status int, retryAfter float64) {
 	if c == nil {
 		return
 	}
@@ -161,22 +166,23 @@
 		c.record(record.ResponseReceived, e)
 	}
 	c.clientDone = true
-	c.forget()
+	c.finish()
 	if retry {
 		c.request.scheduleRetry(retryAfter)
 	}
 }
 
-// forget drops the attempt from its sidecar once none of its server attempts is in flight.
-func (c *clientAttempt) forget() {
+// finish marks the attempt as final and removes it from its sidecar if none of its server attempts is in flight.
+func (c *clientAttempt) finish() {
 	c.final = true
 	if !slices.ContainsFunc(c.attempts, func(a *serverAttempt) bool { return !a.reported }) {
 		delete(c.sidecar.attempts, balance.RequestID(c.id))
 	}
 }
 
-func (c *clientAttempt) forgetIfFinal() {
+// removeIfFinal removes the attempt from its sidecar if it is final and none of its server attempts is in flight.
+func (c *clientAttempt) removeIfFinal() {
 	if c.final {
-		c.forget()
+		c.finish()
 	}
 }
--- a/internal/lab/simulate/digest_test.go
+++ b/internal/lab/simulate/digest_test.go
@@ -13,14 +13,15 @@
 	"marblelane/internal/lab/simulate"
 )
 
-// wantDigest is the SHA-256 of all actions of TestPlay_actionDigest. It changes with each change of a decision, and with no
-// other one: a change that only rearranges code leaves it as it is.
+// wantDigest is the SHA-256 of all actions of TestRun_actionDigest. It changes only with a change of a decision: a
+// change that only rearranges code must not change it.
 const wantDigest = "7f1fc3babe7d9d794e6c2ef79aa8897db014cc721ca5133a7c4a86b378386d8a"
 
-// TestPlay_actionDigest hashes what the balancers of ten simulated scenarios decide, each with a seed of its own.
-func TestPlay_actionDigest(t *testing.T) {
+// TestRun_actionDigest hashes all decisions of the balancers in ten simulated scenarios, each with a different seed, to
+// detect an unintended change of a decision.
+func TestRun_actionDigest(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("other architectures may fuse floating-point operations, which changes last digits")
+		t.Skip("other architectures may fuse floating-point operations, which changes the last digits")
 	}
 	sum := sha256.New()
 	for i, name := range []string{
@@ -39,7 +40,7 @@
 				}
 			}
 		}
-		plan := parse(t, name).Plan(uint64(i + 1))
+		plan := loadScenario(t, name).Plan(uint64(i + 1))
 		if _, err := simulate.Run(context.Background(), plan, simulate.Options{Observe: observe}); err != nil {
 			t.Fatal(err)
 		}
@@ -47,6 +48,6 @@
 	got := hex.EncodeToString(sum.Sum(nil))
 	t.Logf("digest of all actions: %s", got)
 	if got != wantDigest {
-		t.Errorf("digest %s, want %s: a decision has changed", got, wantDigest)
+		t.Errorf("digest of all actions is %s, want %s: a decision has changed", got, wantDigest)
 	}
 }
--- a/internal/lab/simulate/faults.go
+++ b/internal/lab/simulate/faults.go
@@ -9,23 +9,25 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// restartTime is how long a server that is drained and started again is down, in ms, as in the lab.
+// restartTime is the time in ms that a drained server takes to stop, and the time that it is down before it restarts,
+// as in the lab.
 const restartTime = 1000.0
 
-// faultSteps is what a simulated run does for one kind of fault. One of the functions is set.
+// faultSteps has the steps of a simulated run for one kind of fault. Exactly one of the functions is set.
 type faultSteps struct {
 	kind string
-	// once happens at the fault's time.
+	// once is called at the fault's time.
 	once func(sim *simulation, p *scenario.FaultPlan)
-	// server is set (on) at each server for the fault's time, and taken back after it.
+	// server is called for each server of the fault, with on set at the start of the fault and unset at its end.
 	server func(sim *simulation, f *scenario.Fault, s *server, on bool)
-	// link is set (on) at each link of the fault's servers and sidecars, and taken back after its time.
+	// link is called for each link between the fault's servers and sidecars, with on set at the start of the fault and
+	// unset at its end.
 	link func(f *scenario.Fault, l *link, on bool)
 }
 
-// allFaultSteps are the kinds of faults that simulated runs play. Package scenario marks each as simulated.
+// allFaultSteps has the kinds of faults that simulated runs support. Package scenario marks each of them as simulated.
 var allFaultSteps = []faultSteps{
-	{kind: scenario.FaultBurst, once: func(*simulation, *scenario.FaultPlan) {}}, // it is in the arrivals already
+	{kind: scenario.FaultBurst, once: func(*simulation, *scenario.FaultPlan) {}}, // the arrivals of the plan contain it
 	{kind: scenario.FaultSlow, server: func(sim *simulation, f *scenario.Fault, s *server, on bool) {
 		s.slowFactor = sizeIf(on, f)
 		sim.applyServerFaults(s)
@@ -54,7 +56,7 @@
 	{kind: scenario.FaultVanish, server: func(sim *simulation, _ *scenario.Fault, s *server, on bool) {
 		for i := range sim.sidecars {
 			sim.setLink(s, i, func(l *link) { l.cutTo, l.cutFrom = on, on })
-			delete(sim.sidecars[i].idle, s.number)
+			delete(sim.sidecars[i].idleUntil, s.number)
 		}
 	}},
 	{kind: scenario.FaultCut, link: func(f *scenario.Fault, l *link, on bool) {
@@ -70,11 +72,11 @@
 			l.latency = f.Latency.Milliseconds()
 		}
 	}},
-	{kind: scenario.FaultLose, link: func(f *scenario.Fault, l *link, on bool) { l.answerLoss = sizeIf(on, f) }},
+	{kind: scenario.FaultLose, link: func(f *scenario.Fault, l *link, on bool) { l.responseLoss = sizeIf(on, f) }},
 	{kind: scenario.FaultReject, link: func(_ *scenario.Fault, l *link, on bool) { l.reject = on }},
 }
 
-// FaultKinds lists the kinds of faults that simulated runs play.
+// FaultKinds returns the kinds of faults that simulated runs support.
 func FaultKinds() []string {
 	var kinds []string
 	for _, steps := range allFaultSteps {
@@ -83,6 +85,7 @@
 	return kinds
 }
 
+// sizeIf returns the size of a fault if it is on, or else 0.
 func sizeIf(on bool, f *scenario.Fault) float64 {
 	if on {
 		return f.Size
@@ -90,7 +93,7 @@
 	return 0
 }
 
-// The status of fault records: a fault that happens once, and the start and end of one that lasts.
+// The status of fault records: an instantaneous fault, and the start and end of a lasting one.
 const (
 	faultOnce int32 = iota
 	faultStarts
@@ -101,11 +104,11 @@
 func (sim *simulation) addFault(p *scenario.FaultPlan) error {
 	f := &p.Fault
 	if f.Link == scenario.LinkDiscovery {
-		return fmt.Errorf("fault %s of links to discovery: a simulated run has no such links", f.Kind)
+		return fmt.Errorf("fault %s on links to discovery: not supported in simulated runs", f.Kind)
 	}
 	i := slices.IndexFunc(allFaultSteps, func(steps faultSteps) bool { return steps.kind == f.Kind })
 	if i < 0 {
-		return fmt.Errorf("a simulated run cannot play a fault of the kind %q", f.Kind)
+		return fmt.Errorf("fault %q: not supported in simulated runs", f.Kind)
 	}
 	steps := &allFaultSteps[i]
 	start, end := runStart+ms(p.At), runStart+ms(p.Until)
@@ -131,7 +134,7 @@
 	sim.record(record.Event{Kind: record.Fault, Sidecar: record.None, Server: record.None, Class: record.None, Status: status, Note: f.Kind})
 }
 
-// setFault sets a fault at its servers or links, or takes it back.
+// setFault applies a fault to its servers or links, or removes it.
 func (sim *simulation) setFault(steps *faultSteps, p *scenario.FaultPlan, on bool) {
 	sim.eachServer(p.Servers, func(s *server) {
 		if steps.server != nil {
@@ -144,7 +147,7 @@
 	})
 }
 
-// drainAndRestart drains servers. Those that do not keep serving restart after it.
+// drainAndRestart drains servers. They restart afterwards, unless the fault makes them keep serving.
 func drainAndRestart(sim *simulation, p *scenario.FaultPlan) {
 	if p.Fault.KeepServing {
 		sim.eachServer(p.Servers, sim.announceDrain)
@@ -173,15 +176,16 @@
 	}
 }
 
-// applyServerFaults hands a server's faults on to its model.
+// applyServerFaults applies a server's speed and hang faults to the model of its pod.
 func (sim *simulation) applyServerFaults(s *server) {
 	sim.advance(s.pod)
-	s.pod.model.SetSpeed(s.inPod, s.slowFactor, s.hangs)
+	s.pod.model.SetSpeed(s.indexInPod, s.slowFactor, s.hangs)
 	sim.advance(s.pod)
 }
 
-// drainServers drains servers and ends them: they announce it, reject new requests once all sidecars are notified and the
-// grace has passed, and stop.
+// drainServers drains servers and ends them. They announce the drain, reject new requests once all sidecars are
+// notified and the drain grace has passed, and stop restartTime later. The function then is called for each stopped
+// server.
 func (sim *simulation) drainServers(numbers []int, then func(*server)) {
 	wait := sim.scenario.Discovery.DrainDelay.Milliseconds() + sim.scenario.Discovery.Spread.Milliseconds() + sim.scenario.Rules.DrainGrace.Milliseconds()
 	sim.eachServer(numbers, func(s *server) {
@@ -194,6 +198,7 @@
 	})
 }
 
+// announceDrain publishes a server as draining.
 func (sim *simulation) announceDrain(s *server) {
 	sim.recordServerState(s, "drains")
 	sim.publish(s, balance.Draining, "Terminating", sim.scenario.Discovery.DrainDelay)
--- a/internal/lab/simulate/fleet.go
+++ b/internal/lab/simulate/fleet.go
@@ -11,29 +11,30 @@
 	"marblelane/internal/lab/record"
 )
 
-// Members describes how the fleet of sidecars changes in a run, and how sidecars count it. A request to a sidecar that is
-// down goes to another one: the fleet's traffic stays the same.
+// Members describes how the fleet of sidecars changes in a run, and how sidecars count its members. A request to a
+// sidecar that is down goes to another one, so that the fleet's traffic stays the same.
 type Members struct {
 	Count   CountMode
-	Peers   int      // sidecars at the start, the first ones; the number in the settings of all
+	Peers   int           // number of sidecars that run at the start (those with the lowest numbers), and the number in all settings
 	Changes []FleetChange // in any order
-	// MeanWork is the work of a request at a server in slow start, in milliseconds of a core of speed 1. The server crashes
-	// with more than N + 3√N + 3 of them in the settings' overload time; N is the overload multiple of its capacity at the
-	// start of this window.
+	// MeanWork is the assumed work of a request at a server in slow start, in milliseconds of a core of speed 1. The
+	// server crashes with more than N + 3√N + 3 requests in a window of the rules' overload time, where N is the
+	// overload multiple times the number of requests that the server's capacity at the start of the window allows in
+	// the window.
 	MeanWork float64
 }
 
 // CountMode is how sidecars count the members that share the fleet's allowance.
 type CountMode string
 
-// The ways of counting. The last two are bounds to compare the others with.
+// The ways of counting. CountEarned and CountUnbounded are the bounds that the others are compared with.
 const (
-	CountNone       CountMode = "none"   // sidecars get no count
-	CountFixed      CountMode = "fixed"  // sidecars get the settings' number once
-	CountReachable  CountMode = "naive"  // each counts the reachable members, at once
-	CountMembership CountMode = "rule"   // as package internal/membership counts
-	CountEarned     CountMode = "earned" // nothing is assumed: each has what its own answers earn
-	CountUnbounded  CountMode = "free"   // the assumed quota is too large to limit anything
+	CountNone       CountMode = "none"   // sidecars get no fleet size
+	CountFixed      CountMode = "fixed"  // sidecars get Members.Peers once
+	CountReachable  CountMode = "naive"  // each counts the reachable members, and a lower count applies at once
+	CountMembership CountMode = "rule"   // the rule of package internal/membership
+	CountEarned     CountMode = "earned" // no assumed quota: each has only the quota that its own responses earn
+	CountUnbounded  CountMode = "free"   // the assumed quota is too large to limit a sidecar
 )
 
 // CountModes lists all ways of counting.
@@ -41,57 +42,60 @@
 	return []CountMode{CountNone, CountFixed, CountReachable, CountMembership, CountEarned, CountUnbounded}
 }
 
-// FleetChange is one change of the fleet of sidecars. Sidecars are named by number.
+// FleetChange is one change of the fleet of sidecars. Sidecars are identified by number.
 type FleetChange struct {
 	At    float64 // ms since the start of the run
-	Stop  []int   // these die
-	Start []int   // these start, with empty state
-	// Sides is the partition of each sidecar from now on: those of one side reach each other. Empty: no change.
+	Stop  []int   // processes that end without notice
+	Start []int   // processes that start with empty state
+	// Sides has the side of each sidecar in a network partition from now on. Sidecars on the same side reach each
+	// other. If it is empty, the partition does not change.
 	Sides []int
 }
 
 // MembersResult is the result of a run in which the fleet changes.
 type MembersResult struct {
-	Starts []SlowStart // by time
-	// MaxQuota is the greatest sum of all sidecars' quotas at one time, from the first change on, or from the start if there
-	// is none; 1 is the fleet's allowance. MeanQuota is the mean over time.
-	MaxQuota, MeanQuota float64
-	sum, samples        float64
+	Starts []SlowStart // sorted by time
+	// MaxQuota is the greatest sum of all sidecars' quotas at one time, as a fraction of the fleet's allowance. It
+	// covers the time from the first change, or the whole run if there is no change. MeanQuota is the mean over the
+	// same time.
+	MaxQuota, MeanQuota    float64
+	quotaSum, quotaSamples float64
 }
 
-// SlowStart is one start of a server.
+// SlowStart is the load on a server during the slow start after one of its starts.
 type SlowStart struct {
 	Server     int
 	At         float64 // ms since the start of the run
-	PeakLoad   float64 // greatest number of requests in a window over the number that crashes it
-	Overloaded bool
+	PeakLoad   float64 // greatest number of requests in a window, divided by the limit of Members.MeanWork
+	Overloaded bool    // the server crashed
 }
 
-// unboundedPeers is a number of peers whose assumed answers limit nothing.
+// unboundedPeers is a number of peers for which the assumed quota of one sidecar is never a limit.
 const unboundedPeers = 1e9
 
 // sampleInterval is the time between two samples of the sum of quotas, in ms.
 const sampleInterval = 250.0
 
-// fleet is a fleet of sidecars that changes.
+// fleet simulates the changes of the fleet of sidecars.
 type fleet struct {
 	*Members
 	sim    *simulation
-	rng    *rand.Rand // of delays between sidecars
-	sides  []int      // by sidecar
-	views  []memberView
+	rng    *rand.Rand   // random stream of the delays between sidecars
+	sides  []int        // side of each sidecar in the current partition
+	views  []memberView // by sidecar
 	result MembersResult
 }
 
+// addFleetChanges checks the options, and schedules the changes of the fleet and the samples of the quotas.
 func (sim *simulation) addFleetChanges(o *Members) error {
 	m := &fleet{Members: o, sim: sim, rng: rand.New(rand.NewPCG(sim.plan.Seed, 0x6d656d)), sides: make([]int, len(sim.sidecars))}
 	if !slices.Contains(CountModes(), o.Count) || o.Peers < 1 || o.Peers > len(sim.sidecars) || o.MeanWork <= 0 {
-		return fmt.Errorf("members: no way of counting %q, peers %d of %d, or mean work %g",
+		return fmt.Errorf("members: invalid count mode %q, peers %d of %d or mean work %g",
 			o.Count, o.Peers, len(sim.sidecars), o.MeanWork)
 	}
 	sim.members = m
 	for _, s := range sim.servers {
-		if s.listed = s.entry; s.down {
+		if s.listed = s.listEntry; s.down {
 			s.listed.State = balance.Removed
 		}
 	}
@@ -112,7 +116,7 @@
 	for i := range o.Changes {
 		change := &o.Changes[i]
 		if len(change.Sides) > 0 && len(change.Sides) != len(sim.sidecars) {
-			return fmt.Errorf("members: change at %g ms names the sides of %d sidecars of %d",
+			return fmt.Errorf("members: change at %g ms: %d sides for %d sidecars",
 				change.At, len(change.Sides), len(sim.sidecars))
 		}
 		first = math.Min(first, change.At)
@@ -121,22 +125,23 @@
 	if len(o.Changes) == 0 {
 		first = 0
 	}
-	sim.At(runStart+first, m.sample)
+	sim.At(runStart+first, m.sampleQuotas)
 	return nil
 }
 
+// applyChange ends processes, changes the partition, and then starts processes.
 func (m *fleet) applyChange(change *FleetChange) {
 	for _, i := range change.Stop {
 		if c := m.sim.sidecars[i]; !c.down {
 			c.stop()
-			m.processDied(i)
+			m.processEnded(i)
 		}
 	}
 	var started []int
 	for _, i := range change.Start {
 		if c := m.sim.sidecars[i]; c.down {
 			c.down = false
-			c.incarnation++ // pending observations of the last process do not apply to this one
+			c.incarnation++ // pending observations of the previous process do not apply to this one
 			started = append(started, i)
 		}
 	}
@@ -147,11 +152,11 @@
 	list := m.sim.currentList()
 	for _, i := range started {
 		m.sim.sidecars[i].start(list)
-		m.start(i)
+		m.startCounting(i)
 	}
 }
 
-// currentList is the list that discovery has now.
+// currentList returns the current server list of discovery.
 func (sim *simulation) currentList() []balance.Server {
 	var out []balance.Server
 	for _, s := range sim.servers {
@@ -162,7 +167,7 @@
 	return out
 }
 
-// stop ends a sidecar's process: its connections break, and its clients retry at another one.
+// stop ends a sidecar's process. Its connections break, and its clients retry at another sidecar.
 func (sc *sidecar) stop() {
 	sc.down = true
 	sc.incarnation++
@@ -183,18 +188,18 @@
 		}
 	}
 	clear(sc.attempts)
-	clear(sc.idle)
+	clear(sc.idleUntil)
 	cfg := sc.config
 	cfg.Seed += uint64(sc.incarnation) << 32
 	b, err := balance.New(cfg)
 	if err != nil {
-		sc.sim.failed = fmt.Errorf("sidecar %d: %w", sc.number, err)
+		sc.sim.err = fmt.Errorf("sidecar %d: %w", sc.number, err)
 		return
 	}
 	sc.balancer = b
 }
 
-// anyRunning draws a running sidecar; nil: none runs.
+// anyRunning returns a random running sidecar, or nil if none runs.
 func (m *fleet) anyRunning(rng *rand.Rand) *sidecar {
 	var up []*sidecar
 	for _, c := range m.sim.sidecars {
@@ -208,8 +213,8 @@
 	return up[rng.IntN(len(up))]
 }
 
-// sample samples the sum of all quotas.
-func (m *fleet) sample() {
+// sampleQuotas samples the sum of all quotas now and every sampleInterval.
+func (m *fleet) sampleQuotas() {
 	sum := 0.0
 	for i, c := range m.sim.sidecars {
 		if !c.down {
@@ -217,29 +222,30 @@
 		}
 	}
 	r := &m.result
-	r.sum, r.samples = r.sum+sum, r.samples+1
-	r.MaxQuota, r.MeanQuota = math.Max(r.MaxQuota, sum), r.sum/r.samples
+	r.quotaSum, r.quotaSamples = r.quotaSum+sum, r.quotaSamples+1
+	r.MaxQuota, r.MeanQuota = math.Max(r.MaxQuota, sum), r.quotaSum/r.quotaSamples
 	if m.sim.Now() < runStart+ms(m.sim.scenario.Length.Duration()) {
-		m.sim.After(sampleInterval, m.sample)
+		m.sim.After(sampleInterval, m.sampleQuotas)
 	}
 }
 
-// slowStartLoad is what a server is sent during its slow start.
+// slowStartLoad is the load on a server during its slow start.
 type slowStartLoad struct {
-	start int       // its index in the result
-	sends []float64 // of the last window
+	startIndex int       // index in MembersResult.Starts
+	sends      []float64 // arrival times in ms within the last window
 }
 
-// trackSlowStart counts what a server that has started is sent.
+// trackSlowStart starts to track the load on a server that has just started.
 func (m *fleet) trackSlowStart(s *server) {
-	s.slowStart = &slowStartLoad{start: len(m.result.Starts)}
+	s.slowStart = &slowStartLoad{startIndex: len(m.result.Starts)}
 	m.result.Starts = append(m.result.Starts, SlowStart{Server: s.number, At: m.sim.Now() - runStart})
 }
 
-// overloads tells whether one more request crashes a server in slow start, by the formula at Members.MeanWork.
+// overloads adds a request to the load of a server in slow start. It reports whether the request crashes the server, by
+// the formula of Members.MeanWork.
 func (m *fleet) overloads(s *server) bool {
-	r, now, boot := &m.sim.scenario.Rules, m.sim.Now(), s.entry.StartedAt
-	if s.slowStart == nil || now-boot >= r.SlowStart.Milliseconds() {
+	r, now, startedAt := &m.sim.scenario.Rules, m.sim.Now(), s.listEntry.StartedAt
+	if s.slowStart == nil || now-startedAt >= r.SlowStart.Milliseconds() {
 		return false
 	}
 	window := r.OverloadTime.Milliseconds()
@@ -248,11 +254,11 @@
 		sends = sends[1:]
 	}
 	s.slowStart.sends = sends
-	age := math.Max(0, now-window-boot) / r.SlowStart.Milliseconds()
+	age := math.Max(0, now-window-startedAt) / r.SlowStart.Milliseconds()
 	capacity := m.sim.plan.ServerCapacity(s.number) / m.MeanWork
 	n := r.OverloadMultiple * capacity * (r.InitialCapacity + (1-r.InitialCapacity)*math.Min(age, 1)) * window
 	load := float64(len(sends)) / (n + 3*math.Sqrt(n) + 3)
-	start := &m.result.Starts[s.slowStart.start]
+	start := &m.result.Starts[s.slowStart.startIndex]
 	start.PeakLoad, start.Overloaded = math.Max(start.PeakLoad, load), load > 1
 	return load > 1
 }
--- a/internal/lab/simulate/fleet_test.go
+++ b/internal/lab/simulate/fleet_test.go
@@ -12,8 +12,9 @@
 	"marblelane/internal/lab/simulate"
 )
 
-// fleet plays 40 sidecars, 20 of which are there at the start, and six servers, most of which restart at once.
-func fleet(t *testing.T, count simulate.CountMode, seed uint64, changes ...simulate.FleetChange) *simulate.Result {
+// runFleet simulates 40 sidecars, of which 20 run at the start, and six servers, of which four drain and restart at the
+// same time.
+func runFleet(t *testing.T, count simulate.CountMode, seed uint64, changes ...simulate.FleetChange) *simulate.Result {
 	t.Helper()
 	s, err := scenario.Parse("members", []byte(`title = "t"
 length = "20s"
@@ -40,6 +41,7 @@
 	return run
 }
 
+// numbers returns the integers from (included) to (excluded).
 func numbers(from, to int) (out []int) {
 	for i := from; i < to; i++ {
 		out = append(out, i)
@@ -47,6 +49,7 @@
 	return out
 }
 
+// sides returns the sides of the 40 sidecars in a partition.
 func sides(side func(i int) int) []int {
 	out := numbers(0, 40)
 	for i := range out {
@@ -55,14 +58,15 @@
 	return out
 }
 
-// With the counts of membership the sum of quotas never exceeds the fleet's allowance, however the fleet changes, and
-// comes back to it. With counts of reachable members it does exceed it, which shows that the measure can rise.
+// With CountMembership the sum of quotas never exceeds the fleet's allowance, however the fleet changes, and its mean
+// stays high enough. With CountReachable the sum does exceed the allowance, which shows that the measurement detects an
+// excess.
 func TestFleet_quotaSum(t *testing.T) {
 	healed := simulate.FleetChange{At: 12000, Sides: make([]int, 40)}
 	half, alone := sides(func(i int) int { return i % 2 }), sides(func(i int) int { return i })
 	for name, test := range map[string]struct {
 		changes      []simulate.FleetChange
-		minReachable float64 // least maximum of the sum with CountReachable
+		minReachable float64 // lower bound of MaxQuota with CountReachable
 	}{
 		"half die":       {[]simulate.FleetChange{{At: 3000, Stop: numbers(10, 20)}}, 0},
 		"double":         {[]simulate.FleetChange{{At: 3000, Start: numbers(20, 40)}}, 20},
@@ -75,29 +79,30 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 2; seed++ {
-				membership := fleet(t, simulate.CountMembership, seed, test.changes...).Members
+				membership := runFleet(t, simulate.CountMembership, seed, test.changes...).Members
 				assert.LessOrEqual(t, membership.MaxQuota, 1+1e-9)
 				assert.Greater(t, membership.MeanQuota, 0.45)
-				reachable := fleet(t, simulate.CountReachable, seed, test.changes...).Members
+				reachable := runFleet(t, simulate.CountReachable, seed, test.changes...).Members
 				assert.GreaterOrEqual(t, reachable.MaxQuota, test.minReachable)
 			}
 		})
 	}
 }
 
-// A count that equals the settings changes nothing in a run, and the same seed gives the same run with changes.
+// A fixed count that equals the number in the settings does not change a run. With changes of the fleet, too, the same
+// seed gives the same run.
 func TestFleet_fixedCount(t *testing.T) {
 	change := simulate.FleetChange{At: 3000, Stop: numbers(5, 20)}
 	back := simulate.FleetChange{At: 9000, Start: numbers(0, 40)}
-	none := fleet(t, simulate.CountNone, 3, change, back)
-	assert.True(t, reflect.DeepEqual(none, fleet(t, simulate.CountFixed, 3, change, back)))
-	membership := fleet(t, simulate.CountMembership, 3, change, back)
-	assert.True(t, reflect.DeepEqual(membership, fleet(t, simulate.CountMembership, 3, change, back)))
-	assert.False(t, reflect.DeepEqual(membership.Events, none.Events), "another count changes nothing")
+	none := runFleet(t, simulate.CountNone, 3, change, back)
+	assert.True(t, reflect.DeepEqual(none, runFleet(t, simulate.CountFixed, 3, change, back)))
+	membership := runFleet(t, simulate.CountMembership, 3, change, back)
+	assert.True(t, reflect.DeepEqual(membership, runFleet(t, simulate.CountMembership, 3, change, back)))
+	assert.False(t, reflect.DeepEqual(membership.Events, none.Events), "CountMembership and CountNone gave the same events")
 }
 
 func TestFleet_invalidMembers(t *testing.T) {
-	s := parse(t, "calm")
+	s := loadScenario(t, "calm")
 	for _, bad := range []simulate.Members{
 		{Count: "guess", Peers: 1, MeanWork: 1}, {Count: simulate.CountMembership, MeanWork: 1},
 		{Count: simulate.CountMembership, Peers: 1},
--- a/internal/lab/simulate/member_view.go
+++ b/internal/lab/simulate/member_view.go
@@ -1,7 +1,7 @@
 package simulate
 
-// This file models what sidecars know of each other, in place of internal/membership. Delays are drawn evenly from the
-// ranges below. A balancer gets the fleet's size at each change and once a second, as from a membership group.
+// This file models each sidecar's view of the others, in place of internal/membership. Delays are drawn uniformly from
+// the ranges below. A balancer gets the fleet's size at each change and once a second, as from a membership group.
 
 import (
 	"math"
@@ -10,55 +10,59 @@
 	"marblelane/balance"
 )
 
-// The delays in ms, from the shortest to the longest.
+// The shortest and the longest delays in ms.
 var (
-	observeDelay = [2]float64{200, 1000}  // of a start, of the end of a cut, of an acknowledgement
-	detectDelay  = [2]float64{3000, 5000} // from a death or a cut until the failure detector notices
-	proofDelay   = [2]float64{0, 2000}    // from there until the member is proved gone
+	observeDelay = [2]float64{200, 1000}  // until a start, the end of a partition or an acknowledgement is observed
+	detectDelay  = [2]float64{3000, 5000} // from the end of a process or the start of a partition until the failure detector detects it
+	proofDelay   = [2]float64{0, 2000}    // from the detection until the member is proved gone
 )
 
 const (
 	admitTimeout   = 5000.0 // ms after which a joining member admits itself
 	updateInterval = 250.0  // ms between two updates of a view
 	reportInterval = 1000.0 // ms after which a balancer gets the same size again
-	clockJump      = 1e9    // ms by which the balancer's clock is ahead with CountReachable, so that counts drop at once
+	clockJump      = 1e9    // ms that the balancer's clock jumps ahead with CountReachable, so that a lower count applies at once
 )
 
-// The flags of a member in a view. Bit k is counted in counts[k].
+// The flags of a member in a view. The constants known, reachable and seen are the bit numbers of the flags:
+// memberView.counts[k] is the number of members with bit k set.
 const (
 	flagKnown     = 1 << iota // not proved gone
-	flagReachable             // not taken for dead by the failure detector
-	flagSeen                  // ever known
+	flagReachable             // the failure detector has not reported it
+	flagSeen                  // has been known at some time
 
 	known     = 0
 	reachable = 1
 	seen      = 2
 )
 
-// memberView is what one sidecar knows of the fleet.
+// memberView is one sidecar's view of the fleet.
 type memberView struct {
-	flags      []uint8 // by sidecar
-	counts     [3]int  // members that are known, reachable and seen, itself included
-	pending    []observation
-	startedAt  float64 // start of the sidecar's process
-	admitted   bool
-	fleetSize  balance.FleetSize
-	reportedAt float64
-	clockJumps float64
+	flags               []uint8 // by sidecar
+	counts              [3]int  // numbers of known, reachable and seen members, including itself
+	pendingObservations []observation
+	startedAt           float64           // start of the sidecar's process, in simulated ms
+	admitted            bool              // whether the member is admitted to the group, which lasts until its process ends
+	fleetSize           balance.FleetSize // size that was reported last
+	reportedAt          float64           // simulated time in ms of the last report of fleetSize
+	clockJumps          float64           // number of jumps of the balancer's clock
 }
 
-// observation is a change of flags that a sidecar will make for a member of an incarnation.
+// observation is a scheduled change of a member's flags in a view. It is dropped if the member's incarnation has
+// changed by then.
 type observation struct {
-	at                  float64
+	at                  float64 // simulated time in ms
 	member, incarnation int
 	set, unset          uint8
 }
 
+// drawDelay draws a delay from a range in ms.
 func (m *fleet) drawDelay(span [2]float64) float64 {
 	return span[0] + (span[1]-span[0])*m.rng.Float64()
 }
 
-func (v *memberView) mark(member int, set, unset uint8) {
+// setFlags sets and clears flags of a member and updates the counts.
+func (v *memberView) setFlags(member int, set, unset uint8) {
 	before, after := v.flags[member], v.flags[member]&^unset|set
 	for k := range v.counts {
 		v.counts[k] += int(after>>k&1) - int(before>>k&1)
@@ -66,14 +70,15 @@
 	v.flags[member] = after
 }
 
-// observe schedules a change of flags in the view of a sidecar.
+// observe schedules a change of a member's flags in the viewer's view, after a delay in ms.
 func (m *fleet) observe(viewer, member int, after float64, set, unset uint8) {
 	at := m.sim.Now() + after
 	v := &m.views[viewer]
-	v.pending = append(v.pending, observation{at, member, m.sim.sidecars[member].incarnation, set, unset})
+	v.pendingObservations = append(v.pendingObservations, observation{at, member, m.sim.sidecars[member].incarnation, set, unset})
 }
 
-// initViews lets the first sidecars know each other, as in a fleet that has run for long.
+// initViews fills the views of the sidecars that run at the start: each knows all others, as in a fleet that has run
+// for a long time.
 func (m *fleet) initViews() {
 	m.views = make([]memberView, len(m.sim.sidecars))
 	for i := range m.views {
@@ -83,28 +88,29 @@
 			continue
 		}
 		for j := range m.Peers {
-			v.mark(j, flagKnown|flagReachable|flagSeen, 0)
+			v.setFlags(j, flagKnown|flagReachable|flagSeen, 0)
 		}
 		v.admitted = true
-		m.sim.At(0, func() { m.start(i) })
+		m.sim.At(0, func() { m.startCounting(i) })
 	}
 }
 
-// processDied schedules the detection of a death.
-func (m *fleet) processDied(dead int) {
+// processEnded schedules the detection of the end of a member's process in the other views.
+func (m *fleet) processEnded(member int) {
 	for i := range m.views {
-		if i == dead || m.sim.sidecars[i].down {
+		if i == member || m.sim.sidecars[i].down {
 			continue
 		}
-		gone := m.drawDelay(detectDelay)
-		m.observe(i, dead, gone, 0, flagReachable)
-		if proved := gone + m.drawDelay(proofDelay); m.sides[i] == m.sides[dead] { // others get no proof before the partition heals
-			m.observe(i, dead, proved, 0, flagKnown)
+		detected := m.drawDelay(detectDelay)
+		m.observe(i, member, detected, 0, flagReachable)
+		if proved := detected + m.drawDelay(proofDelay); m.sides[i] == m.sides[member] { // the other sides get no proof until the partition heals
+			m.observe(i, member, proved, 0, flagKnown)
 		}
 	}
 }
 
-// partition lets sidecars lose those on the other sides, and meet those on their own.
+// partition schedules the observations of a new partition: sidecars lose contact with those on other sides, and regain
+// it with those on their own side.
 func (m *fleet) partition(sides []int) {
 	before := m.sides
 	m.sides = slices.Clone(sides)
@@ -124,17 +130,17 @@
 	}
 }
 
-// join lets processes that have just started and the others observe each other. A joining member learns indirectly of
-// unreachable members that the others have not proved gone.
+// join schedules the observations of processes that have just started by the others, and of the others by them. A
+// joining member learns indirectly of unreachable members that the others have not proved gone.
 func (m *fleet) join(started []int) {
-	fresh := make([]bool, len(m.views))
+	justStarted := make([]bool, len(m.views))
 	for _, i := range started {
-		fresh[i] = true
+		justStarted[i] = true
 	}
 	for _, i := range started {
 		v := &m.views[i]
 		*v = memberView{flags: make([]uint8, len(m.views)), startedAt: m.sim.Now()}
-		v.mark(i, flagKnown|flagReachable|flagSeen, 0)
+		v.setFlags(i, flagKnown|flagReachable|flagSeen, 0)
 	}
 	for _, i := range started {
 		for j := range m.views {
@@ -144,7 +150,7 @@
 				m.learnIndirectly(i, j)
 			default:
 				m.observe(i, j, m.drawDelay(observeDelay), flagReachable|flagKnown|flagSeen, 0)
-				if !fresh[j] {
+				if !justStarted[j] {
 					m.observe(j, i, m.drawDelay(observeDelay), flagReachable|flagKnown|flagSeen, 0)
 				}
 			}
@@ -152,14 +158,15 @@
 	}
 }
 
-// learnIndirectly gives a joining member what the first running member on its side knows of an unreachable one.
+// learnIndirectly schedules the observations by which a joining member learns of an unreachable one from the first
+// running member on its side that knows it.
 func (m *fleet) learnIndirectly(joining, member int) {
 	for k := range m.views {
 		if k == joining || m.sim.sidecars[k].down || m.sides[k] != m.sides[joining] || m.views[k].flags[member]&flagKnown == 0 {
 			continue
 		}
 		m.observe(joining, member, m.drawDelay(observeDelay), flagKnown|flagSeen, 0)
-		for _, o := range m.views[k].pending { // a proof that is under way reaches the joining member, too
+		for _, o := range m.views[k].pendingObservations { // a pending proof reaches the joining member, too
 			if o.member == member && o.unset&flagKnown != 0 {
 				m.observe(joining, member, math.Max(o.at-m.sim.Now(), observeDelay[1]), 0, flagKnown)
 			}
@@ -168,8 +175,9 @@
 	}
 }
 
-// start gives a sidecar the fleet's size by the way of counting, until its process ends.
-func (m *fleet) start(i int) {
+// startCounting passes the fleet's size to a sidecar's balancer by the way of counting. Modes that follow the fleet
+// repeat this until the process ends.
+func (m *fleet) startCounting(i int) {
 	c := m.sim.sidecars[i]
 	switch m.Count {
 	case CountFixed:
@@ -183,12 +191,13 @@
 	}
 }
 
-// update applies the due observations of a sidecar and tells its balancer the fleet's size.
+// update applies the due observations to a sidecar's view and passes the fleet's size to its balancer. It repeats
+// itself every updateInterval.
 func (m *fleet) update(i int) {
 	c, v, now := m.sim.sidecars[i], &m.views[i], m.sim.Now()
-	v.pending = slices.DeleteFunc(v.pending, func(o observation) bool {
+	v.pendingObservations = slices.DeleteFunc(v.pendingObservations, func(o observation) bool {
 		if o.at <= now && m.sim.sidecars[o.member].incarnation == o.incarnation {
-			v.mark(o.member, o.set, o.unset)
+			v.setFlags(o.member, o.set, o.unset)
 		}
 		return o.at <= now
 	})
@@ -196,7 +205,7 @@
 	if s != v.fleetSize || now-v.reportedAt >= reportInterval {
 		v.fleetSize, v.reportedAt = s, now
 		if m.Count == CountReachable {
-			m.handleReachable(c, s)
+			m.reportReachable(c, s)
 		} else {
 			c.handle(s)
 		}
@@ -204,7 +213,7 @@
 	m.sim.After(updateInterval, c.inThisIncarnation(func() { m.update(i) }))
 }
 
-// fleetSize is the fleet's size as a sidecar counts it now.
+// fleetSize returns the fleet's size as a sidecar counts it now.
 func (m *fleet) fleetSize(i int) balance.FleetSize {
 	v := &m.views[i]
 	if m.Count == CountReachable {
@@ -215,7 +224,8 @@
 	return balance.FleetSize{Known: v.counts[known] + unseen, Reachable: v.counts[reachable], Admitted: v.admitted}
 }
 
-// isAcknowledged tells whether all that a joining member knows know it, and the slowest had the time to answer.
+// isAcknowledged reports whether all members that a joining member knows also know the joining member, and the slowest
+// of them has had time to acknowledge it.
 func (m *fleet) isAcknowledged(joining int) bool {
 	v := &m.views[joining]
 	if m.sim.Now()-v.startedAt < observeDelay[1] || v.counts[known] != v.counts[reachable] {
@@ -229,16 +239,17 @@
 	return true
 }
 
-// handleReachable tells a size that drops at once: the balancer's clock is far ahead of the last time.
-func (m *fleet) handleReachable(c *sidecar, s balance.FleetSize) {
+// reportReachable passes a size to the balancer with a clock far ahead of the previous call, so that a lower size
+// applies at once.
+func (m *fleet) reportReachable(c *sidecar, s balance.FleetSize) {
 	v := &m.views[c.number]
 	v.clockJumps++
 	if _, err := c.balancer.Handle(m.sim.Now()+clockJump*v.clockJumps, s); err != nil {
-		m.sim.failed = err
+		m.sim.err = err
 	}
 }
 
-// quota is the fraction of the fleet's allowance that a sidecar assumes to be its own.
+// quota returns the fraction of the fleet's allowance that a sidecar assumes as its own.
 func (m *fleet) quota(i int) float64 {
 	switch m.Count {
 	case CountNone, CountFixed:
--- a/internal/lab/simulate/server_attempt.go
+++ b/internal/lab/simulate/server_attempt.go
@@ -10,10 +10,10 @@
 	"marblelane/internal/lab/stock"
 )
 
-// connectTimeout is the settings' limits.connect_timeout_ms, as in Plan.Settings.
+// connectTimeout is limits.connect_timeout_ms of the settings that Plan.Settings makes, in ms.
 const connectTimeout = scenario.ConnectTimeoutMS
 
-// idleMargin is how long before the server's idle timeout a sidecar stops using a connection, in ms.
+// idleMargin is the time in ms before the server's idle timeout at which a sidecar stops reusing a connection.
 const idleMargin = 2.0
 
 // serverAttempt is one send of a request from a sidecar to a server.
@@ -22,17 +22,18 @@
 	client           *clientAttempt
 	sidecar          *sidecar
 	server           *server
-	number           int
-	connection       int16
-	sentAt           float64
+	number           int     // index among the attempts of the client attempt
+	connection       int16   // number of the connection at the server, from 1
+	sentAt           float64 // simulated time in ms
 	task             *stock.Task
 	reusedConnection bool
 	reachedServer    bool
-	ended            bool // the server has answered it or seen it closed
-	reported         bool // the balancer has its outcome
+	ended            bool // the server has responded or seen the connection closed
+	reported         bool // the outcome has been reported to the balancer, or the sidecar has ended
 }
 
-// send makes an attempt at a server, over an idle connection or a new one. It times out at dropAt, if that is set.
+// send makes an attempt at a server, over an idle connection or a new one. The attempt times out at dropAt (simulated
+// time in ms) if that is positive, and at the client attempt's deadline at the latest.
 func (c *clientAttempt) send(s *server, dropAt float64) {
 	sim := c.request.sim
 	a := &serverAttempt{sim: sim, client: c, sidecar: c.sidecar, server: s, number: len(c.attempts), sentAt: sim.Now()}
@@ -46,7 +47,7 @@
 			a.reportFailure(balance.TimedOut)
 		}
 	})
-	a.reusedConnection = c.sidecar.takeIdle(s)
+	a.reusedConnection = c.sidecar.takeIdleConnection(s)
 	sim.sends = append(sim.sends, Send{At: sim.Now() - runStart, Sidecar: c.sidecar.number, Server: s.number,
 		First: a.number == 0, NewConnection: !a.reusedConnection, Work: c.request.arrival.Work})
 	if a.reusedConnection {
@@ -56,19 +57,19 @@
 	a.connect()
 }
 
-// takeIdle takes an idle connection to a server, if one is still open.
-func (sc *sidecar) takeIdle(s *server) bool {
-	idle := sc.idle[s.number]
+// takeIdleConnection takes an idle connection to a server that is still open. It returns false if there is none.
+func (sc *sidecar) takeIdleConnection(s *server) bool {
+	idle := sc.idleUntil[s.number]
 	for len(idle) > 0 {
 		last := len(idle) - 1
 		openUntil := idle[last]
 		idle = idle[:last]
 		if openUntil > sc.sim.Now() {
-			sc.idle[s.number] = idle
+			sc.idleUntil[s.number] = idle
 			return true
 		}
 	}
-	sc.idle[s.number] = idle
+	sc.idleUntil[s.number] = idle
 	return false
 }
 
@@ -77,7 +78,7 @@
 	sim := a.sim
 	l, oneWay := sim.link(a.sidecar, a.server), sim.latency(a.sidecar, a.server)
 	switch {
-	case l.cutTo || l.cutFrom: // the first packet, or the answer to it, is lost
+	case l.cutTo || l.cutFrom: // the first packet of the handshake, or its response, is lost
 		sim.After(connectTimeout, func() { a.reportFailure(balance.ConnectFailed) })
 	case a.server.down || l.reject:
 		sim.After(2*oneWay, func() { a.reportFailure(balance.ConnectFailed) })
@@ -92,7 +93,8 @@
 		Attempt: a.connection, Status: int32(status), Class: record.None})
 }
 
-// arrive is when the request reaches its server, if it does. Work of the connection is added to that of the request.
+// arrive handles the arrival of the request at its server, unless the link is cut. The work of opening the connection
+// is added to the work of the request.
 func (a *serverAttempt) arrive(connectionWork float64) {
 	sim, s := a.sim, a.server
 	l := sim.link(a.sidecar, s)
@@ -100,7 +102,7 @@
 		return
 	}
 	if s.down {
-		a.arriveAtDownServer()
+		a.failAtDownServer()
 		return
 	}
 	s.connections++
@@ -113,20 +115,21 @@
 	}
 	if s.failFraction > 0 && sim.rng.Float64() < s.failFraction {
 		a.record(record.WorkStarted, 0)
-		a.end(http.StatusInternalServerError, func() { a.reportFailure(balance.Failed) })
+		a.respond(http.StatusInternalServerError, func() { a.reportFailure(balance.Failed) })
 		return
 	}
-	dropped := s.dropFraction > 0 && sim.rng.Float64() < s.dropFraction || l.answerLoss > 0 && sim.rng.Float64() < l.answerLoss
+	dropped := s.dropFraction > 0 && sim.rng.Float64() < s.dropFraction || l.responseLoss > 0 && sim.rng.Float64() < l.responseLoss
 	sim.advance(s.pod)
 	if sim.members != nil && sim.members.overloads(s) {
-		a.overload()
+		a.crashOnOverload()
 		return
 	}
 	a.startWork(connectionWork, dropped)
 }
 
-// arriveAtDownServer fails the attempt. The sidecar cannot tell whether a request over a reused connection was read.
-func (a *serverAttempt) arriveAtDownServer() {
+// failAtDownServer fails an attempt whose server is down. Over a reused connection the result is a reset, as the
+// sidecar cannot determine whether the server read the request.
+func (a *serverAttempt) failAtDownServer() {
 	result := balance.ConnectFailed
 	if a.reusedConnection {
 		result = balance.Reset
@@ -134,36 +137,37 @@
 	a.deliver(func() { a.reportFailure(result) })
 }
 
-// startWork offers the request to the server's pod. The answer to a dropped one is lost.
+// startWork offers the request to the server's pod. If dropped is set, the response is never sent.
 func (a *serverAttempt) startWork(connectionWork float64, dropped bool) {
 	sim, s, arrival := a.sim, a.server, a.client.request.arrival
 	work := arrival.Work*sim.scenario.Classes[arrival.Class].AttemptWorkFactor(a.client.id, s.number) + connectionWork
 	started := func() { a.record(record.WorkStarted, 0) }
 	finished := func() {
 		if !a.ended && !dropped {
-			a.end(http.StatusOK, a.reportSuccess)
+			a.respond(http.StatusOK, a.reportSuccess)
 		}
 	}
-	task, result := s.pod.model.Offer(sim.elapsed(), s.inPod, work, started, finished)
+	task, result := s.pod.model.Offer(sim.elapsed(), s.indexInPod, work, started, finished)
 	switch result {
 	case stock.Rejected:
 		a.reject()
 	case stock.Overloaded:
-		a.overload()
+		a.crashOnOverload()
 	default:
 		a.task = task
 		sim.advance(s.pod)
 	}
 }
 
-// reject answers that nothing ran.
+// reject responds that the request was not processed.
 func (a *serverAttempt) reject() {
 	a.record(record.Rejected, http.StatusServiceUnavailable)
-	a.end(http.StatusServiceUnavailable, func() { a.reportFailure(balance.Rejected) })
+	a.respond(http.StatusServiceUnavailable, func() { a.reportFailure(balance.Rejected) })
 }
 
-// end answers the attempt at its server; report tells the balancer once the answer has arrived.
-func (a *serverAttempt) end(status int, report func()) {
+// respond sends the server's response. The function report reports the outcome to the balancer and is called when the
+// response arrives.
+func (a *serverAttempt) respond(status int, report func()) {
 	a.ended = true
 	a.record(record.ResponseSent, status)
 	a.deliver(func() {
@@ -172,14 +176,15 @@
 	})
 }
 
-// overload crashes the server that this attempt is too much for.
-func (a *serverAttempt) overload() {
+// crashOnOverload crashes the server that this attempt overloads.
+func (a *serverAttempt) crashOnOverload() {
 	a.sim.record(record.Event{Kind: record.OverloadCrash, Request: a.client.id, Sidecar: int32(a.sidecar.number), Server: int32(a.server.number),
-		Class: record.None, Note: "sent more than it can bear while cold"})
+		Class: record.None, Note: "overloaded during slow start"})
 	a.sim.crashServer(a.server, true)
 }
 
-// deliver brings the server's answer to the sidecar, unless the link is cut.
+// deliver calls then when a packet from the server arrives at the sidecar, unless the link is cut or the attempt's
+// outcome has been reported by then.
 func (a *serverAttempt) deliver(then func()) {
 	sim := a.sim
 	if sim.link(a.sidecar, a.server).cutFrom {
@@ -192,29 +197,29 @@
 	})
 }
 
-// keepConnection leaves the connection open for a next request.
+// keepConnection keeps the connection open for another request.
 func (a *serverAttempt) keepConnection() {
 	openUntil := a.sim.Now() + a.sim.scenario.Servers.IdleTimeout.Milliseconds() - idleMargin
-	a.sidecar.idle[a.server.number] = append(a.sidecar.idle[a.server.number], openUntil)
+	a.sidecar.idleUntil[a.server.number] = append(a.sidecar.idleUntil[a.server.number], openUntil)
 }
 
-// outcome is the attempt's end as an event for the balancer.
+// outcome returns the event that reports the attempt's result to the balancer.
 func (a *serverAttempt) outcome(result balance.Result) balance.Outcome {
 	return balance.Outcome{Request: balance.RequestID(a.client.id), Attempt: a.number, Server: balance.ServerID(a.server.number + 1),
 		Result: result, Elapsed: a.sim.Now() - a.sentAt}
 }
 
-// reportSuccess answers the client and tells the balancer.
+// reportSuccess sends the response to the client and reports the success to the balancer.
 func (a *serverAttempt) reportSuccess() {
 	a.reported = true
 	outcome := a.outcome(balance.OK)
 	outcome.Finished = true
-	a.client.answer(http.StatusOK, 0)
+	a.client.respond(http.StatusOK, 0)
 	a.sidecar.handle(outcome)
-	a.client.forgetIfFinal()
+	a.client.removeIfFinal()
 }
 
-// reportFailure tells the balancer of an attempt that ended without an answer for the client.
+// reportFailure reports to the balancer an attempt that ended without a response for the client.
 func (a *serverAttempt) reportFailure(result balance.Result) {
 	if a.reported {
 		return
@@ -222,10 +227,10 @@
 	a.reported = true
 	a.closeAtServer()
 	a.sidecar.handle(a.outcome(result))
-	a.client.forgetIfFinal()
+	a.client.removeIfFinal()
 }
 
-// closeAtServer records that the sidecar has closed an attempt that its server has not answered.
+// closeAtServer records that the sidecar has closed the connection of an attempt before the server's response.
 func (a *serverAttempt) closeAtServer() {
 	if a.reachedServer && !a.ended {
 		a.ended = true
@@ -233,7 +238,8 @@
 	}
 }
 
-// cancel gives the attempt up for the balancer, later: the balancer must not be called from its own call.
+// cancel cancels the attempt on request of the balancer. It reports the result in a later step of the clock, as the
+// balancer must not be called during one of its own calls.
 func (a *serverAttempt) cancel() {
 	a.sim.After(0, func() {
 		if !a.reported {
@@ -243,7 +249,7 @@
 	})
 }
 
-// cancelAtServer lets the server see the close and drop the work, unless the link is cut.
+// cancelAtServer cancels the work when the close of the connection arrives at the server, unless the link is cut.
 func (a *serverAttempt) cancelAtServer() {
 	sim := a.sim
 	if sim.link(a.sidecar, a.server).cutTo {
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -1,12 +1,12 @@
-// Package simulate plays a scenario on a simulated clock. Each sidecar has the real decision module (package balance);
-// clients, links with faults and servers are simulated, the latter by the model of the lab's stand-in servers. A thousand
+// Package simulate runs a scenario on a simulated clock. Each sidecar has the real decision module (package balance).
+// Clients, links with faults and servers are simulated, servers by the model of the lab's stand-in servers. A thousand
 // sidecars and two thousand servers fit into one process, and the same seed gives the same run, byte for byte.
 //
-// It writes the records that a run of processes writes, so that the same invariants and measures apply. It leaves out what
-// has no part in a decision: sockets, processor time and memory, batches of events, bodies.
+// A simulated run produces the same records as a run of real processes, so that the same invariants and figures apply.
+// It does not simulate what affects no decision: sockets, processor time and memory, batches of events, and bodies.
 //
-// Failure modes: a scenario with a fault that it cannot play is an error that names the fault; so is an action of the
-// balancer for an unknown request.
+// Failure modes: a scenario with a fault that cannot be simulated is an error that names the fault. An action of the
+// balancer for an unknown request is also an error.
 package simulate
 
 import (
@@ -31,35 +31,37 @@
 
 // Options are the options of a run.
 type Options struct {
-	// ChangeConfig changes the configuration of a sidecar before it starts; nil: it stays.
+	// ChangeConfig changes the configuration of a sidecar before it starts. It may be nil.
 	ChangeConfig func(sidecar int, cfg *balance.Config)
-	// Progress is called now and then with the fraction of the run that is done; nil: it is not reported.
+	// Progress is called from time to time with the fraction of the run that is done. It may be nil.
 	Progress func(fraction float64)
-	// Observe is given the actions of a sidecar's balancer in order, and must not keep the slice. It may be nil.
+	// Observe is called with the actions of a sidecar's balancer in order. It must not keep the slice. It may be nil.
 	Observe func(sidecar int, actions []balance.Action)
-	// Members lets the fleet of sidecars change; nil: it stays, and sidecars get no count.
+	// Members describes changes of the fleet of sidecars. If it is nil, the fleet does not change, and sidecars get no
+	// fleet size.
 	Members *Members
 }
 
-// Result is the result of a run.
+// Result is the result of a simulated run.
 type Result struct {
-	Events   []record.Event // by time
-	WorkDone float64        // by all servers, in milliseconds of a core of speed 1
-	Sends    []Send         // by time
+	Events   []record.Event // sorted by time
+	WorkDone float64        // work of all servers, in milliseconds of a core of speed 1
+	Sends    []Send         // sorted by time
 
-	Members *MembersResult // nil: the fleet did not change
+	Members *MembersResult // nil if Options.Members is nil
 }
 
-// runStart is the simulated time in ms at which a run starts. A server's start at 0 means long ago.
+// runStart is the simulated time in ms at which a run starts. It is above 0, as a server with the start time 0 counts
+// as started long ago.
 const runStart = 1000.0
 
-// lateAnswerWait is how long in ms a client still reads after its timeout, as the lab's clients do.
-const lateAnswerWait = 500.0
+// lateResponseWait is the time in ms that a client still reads after its timeout, as the lab's clients do.
+const lateResponseWait = 500.0
 
-// maxTail is how long in ms a run goes on after its length at most.
+// maxTail is the longest time in ms that a run continues after the scenario's length, for attempts in flight.
 const maxTail = 20000.0
 
-// simulation is a run in progress.
+// simulation is the state of a run in progress.
 type simulation struct {
 	simclock.Clock
 	plan     *scenario.Plan
@@ -70,58 +72,61 @@
 	pods     []*pod
 	servers  []*server
 	sidecars []*sidecar
-	members  *fleet // nil: the fleet of sidecars stays as it is
-	failed   error
+	members  *fleet // nil if the fleet of sidecars does not change
+	err      error
 }
 
+// pod is a group of servers that share the pod's processor limit.
 type pod struct {
-	model     *stock.SimulatedPod
-	nextCheck float64 // when it is advanced next; negative: not scheduled
+	model       *stock.SimulatedPod
+	nextAdvance float64 // simulated time of the next scheduled advance, negative if none is scheduled
 }
 
+// server is a simulated server.
 type server struct {
-	number, inPod              int
+	number, indexInPod         int
 	pod                        *pod
-	entry                      balance.Server
+	listEntry                  balance.Server
 	down                       bool
-	bootMS                     int64
+	startedAtMS                int64
 	failFraction, dropFraction float64
 	hangs, rejects             bool
 	slowFactor                 float64
-	links                      map[int]*link // by sidecar, where they have faults
+	links                      map[int]*link // links with faults by number of the sidecar
 	connections                int16
-	listVersion                int            // number of its published changes
-	listed                     balance.Server // as discovery has it now; maintained only where sidecars may start later
+	listVersion                int            // number of published changes of this server
+	listed                     balance.Server // current entry in discovery, maintained only if simulation.members is set
 	listedVersion              int            // listVersion of listed
-	slowStart                  *slowStartLoad // since its last start; nil: not tracked
+	slowStart                  *slowStartLoad // load since the last start, nil if it is not tracked
 }
 
 // link holds the faults of the link between one sidecar and one server.
 type link struct {
-	cutTo, cutFrom bool // cut
+	cutTo, cutFrom bool // cut in the direction to, or from, the server
 	reject         bool
-	answerLoss     float64
-	latency        float64 // 0: as the network has it
+	responseLoss   float64
+	latency        float64 // one-way latency in ms, 0 for the latency of the scenario's network
 }
 
+// sidecar is a simulated sidecar with a real balancer.
 type sidecar struct {
 	number          int
 	sim             *simulation
-	observe         func(sidecar int, actions []balance.Action) // may be nil
+	observe         func(sidecar int, actions []balance.Action) // Options.Observe, may be nil
 	balancer        *balance.Balancer
 	config          balance.Config
 	attempts        map[balance.RequestID]*clientAttempt
-	idle            map[int][]float64 // by server: until when each idle connection is open
-	notifiedVersion map[int]int       // by server: listVersion of the last notice
-	down            bool              // no process runs
-	incarnation     int               // number of processes that have ended
+	idleUntil       map[int][]float64 // by server, the times until which idle connections are open
+	notifiedVersion map[int]int       // by server, the listVersion of the last notification
+	down            bool              // the sidecar has no running process
+	incarnation     int               // changes at each end and each restart of the process
 }
 
-// Run runs a plan.
+// Run simulates a plan.
 func Run(ctx context.Context, plan *scenario.Plan, o Options) (*Result, error) {
 	s := plan.Scenario
 	if s.Registry.Replicas > 0 || s.Discovery.RegistryReplicas > 0 {
-		return nil, fmt.Errorf("simulate %s: the list service's copies are real processes; a simulated run has none", s.Name)
+		return nil, fmt.Errorf("simulate %s: replicas of the list service need real processes", s.Name)
 	}
 	sim := &simulation{plan: plan, scenario: s, rng: rand.New(rand.NewPCG(plan.Seed, 0x73696d))}
 	sim.addServers()
@@ -152,10 +157,10 @@
 				o.Progress(math.Min((sim.Now()-runStart)/(end-runStart), 1))
 			}
 		}
-		if sim.failed != nil {
-			return nil, fmt.Errorf("simulate %s at %.0f ms: %w", s.Name, sim.Now()-runStart, sim.failed)
+		if sim.err != nil {
+			return nil, fmt.Errorf("simulate %s at %.0f ms: %w", s.Name, sim.Now()-runStart, sim.err)
 		}
-		if sim.Now() > end && sim.idle() {
+		if sim.Now() > end && sim.hasNoAttempts() {
 			break
 		}
 	}
@@ -169,8 +174,8 @@
 	return out, nil
 }
 
-// idle tells whether no client attempt is in flight.
-func (sim *simulation) idle() bool {
+// hasNoAttempts reports whether no client attempt is in flight.
+func (sim *simulation) hasNoAttempts() bool {
 	for _, c := range sim.sidecars {
 		if len(c.attempts) > 0 {
 			return false
@@ -179,9 +184,10 @@
 	return true
 }
 
+// ms returns a duration in milliseconds.
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// elapsed is the time since the start of the run, as in records.
+// elapsed returns the time since the start of the run, as stored in records.
 func (sim *simulation) elapsed() time.Duration {
 	return time.Duration(math.Round((sim.Now() - runStart) * float64(time.Millisecond)))
 }
@@ -196,12 +202,12 @@
 	specs := make([][]stock.Spec, len(p.Pods))
 	for i := range p.Servers {
 		sp := &p.Servers[i]
-		sim.servers = append(sim.servers, &server{number: i, inPod: len(specs[sp.Pod]), down: sp.Spare, slowFactor: 1, links: map[int]*link{},
-			entry: balance.Server{ID: balance.ServerID(i + 1), Rating: 1, Cell: sp.Pod, Zone: sp.Zone, Kind: sp.Kind, AddressKey: uint64(i + 1)}})
+		sim.servers = append(sim.servers, &server{number: i, indexInPod: len(specs[sp.Pod]), down: sp.Spare, slowFactor: 1, links: map[int]*link{},
+			listEntry: balance.Server{ID: balance.ServerID(i + 1), Rating: 1, Cell: sp.Pod, Zone: sp.Zone, Kind: sp.Kind, AddressKey: uint64(i + 1)}})
 		specs[sp.Pod] = append(specs[sp.Pod], stock.SpecOf(p, i))
 	}
 	for i := range p.Pods {
-		sim.pods = append(sim.pods, &pod{model: stock.NewSimulatedPod(p.Pods[i].Limit, specs[i]), nextCheck: -1})
+		sim.pods = append(sim.pods, &pod{model: stock.NewSimulatedPod(p.Pods[i].Limit, specs[i]), nextAdvance: -1})
 	}
 	for i := range sim.servers {
 		sim.servers[i].pod = sim.pods[p.Servers[i].Pod]
@@ -212,7 +218,7 @@
 	var all []balance.Server
 	for _, s := range sim.servers {
 		if !s.down {
-			all = append(all, s.entry)
+			all = append(all, s.listEntry)
 		}
 	}
 	for i := range sim.plan.Sidecars {
@@ -232,7 +238,7 @@
 		if err != nil {
 			return fmt.Errorf("sidecar %d: %w", i, err)
 		}
-		c := &sidecar{number: i, sim: sim, observe: o.Observe, balancer: b, config: cfg, attempts: map[balance.RequestID]*clientAttempt{}, idle: map[int][]float64{},
+		c := &sidecar{number: i, sim: sim, observe: o.Observe, balancer: b, config: cfg, attempts: map[balance.RequestID]*clientAttempt{}, idleUntil: map[int][]float64{},
 			notifiedVersion: map[int]int{}}
 		sim.sidecars = append(sim.sidecars, c)
 		sim.At(0, func() { c.start(all) })
@@ -240,7 +246,7 @@
 	return nil
 }
 
-// start starts the process of a sidecar with a list of servers.
+// start starts the process of a sidecar with a full list of servers.
 func (sc *sidecar) start(list []balance.Server) {
 	if sc.down {
 		return
@@ -254,20 +260,21 @@
 	}
 }
 
-// handle gives an event to the balancer and executes its actions.
+// handle passes an event to the balancer and executes the balancer's actions.
 func (sc *sidecar) handle(ev balance.Event) {
 	if sc.down {
 		return
 	}
 	actions, err := sc.balancer.Handle(sc.sim.Now(), ev)
 	if err != nil {
-		sc.sim.failed = fmt.Errorf("sidecar %d, %T: %w", sc.number, ev, err)
+		sc.sim.err = fmt.Errorf("sidecar %d, %T: %w", sc.number, ev, err)
 		return
 	}
 	sc.execute(actions)
 }
 
-// execute executes a balancer's actions in order. The balancer must not be called from here: results come later.
+// execute executes a balancer's actions in order. The balancer must not be called from here, as it may be inside a
+// call. Results are passed to it later.
 func (sc *sidecar) execute(actions []balance.Action) {
 	sim := sc.sim
 	if sc.observe != nil {
@@ -278,14 +285,14 @@
 		switch a.Kind {
 		case balance.Send:
 			if attempt == nil {
-				sim.failed = fmt.Errorf("sidecar %d sends request %d, which no client waits for", sc.number, a.Request)
+				sim.err = fmt.Errorf("sidecar %d: send request %d: the request has no client attempt", sc.number, a.Request)
 				return
 			}
 			attempt.send(sim.servers[a.Server-1], a.At)
 		case balance.Reject:
-			attempt.answer(http.StatusTooManyRequests, a.At)
+			attempt.respond(http.StatusTooManyRequests, a.At)
 		case balance.Fail:
-			attempt.answer(http.StatusGatewayTimeout, 0)
+			attempt.respond(http.StatusGatewayTimeout, 0)
 		case balance.Cancel:
 			if attempt != nil && a.Attempt < len(attempt.attempts) {
 				attempt.attempts[a.Attempt].cancel()
@@ -298,7 +305,7 @@
 	}
 }
 
-// checkHealth asks a server whether its process runs.
+// checkHealth simulates a health check of a server.
 func (sc *sidecar) checkHealth(s *server) {
 	l := sc.sim.link(sc, s)
 	result, wait := balance.OK, 2*sc.sim.latency(sc, s)
@@ -309,11 +316,11 @@
 		result, wait = balance.TimedOut, connectTimeout
 	}
 	sc.sim.After(wait, sc.inThisIncarnation(func() {
-		sc.handle(balance.HealthCheckResult{Server: s.entry.ID, Result: result, Elapsed: wait})
+		sc.handle(balance.HealthCheckResult{Server: s.listEntry.ID, Result: result, Elapsed: wait})
 	}))
 }
 
-// inThisIncarnation wraps a callback that is skipped if the sidecar's process has ended by then.
+// inThisIncarnation wraps a callback so that it is skipped if the sidecar's process has ended in the meantime.
 func (sc *sidecar) inThisIncarnation(do func()) func() {
 	incarnation := sc.incarnation
 	return func() {
@@ -323,7 +330,7 @@
 	}
 }
 
-// link gives the faults of the link between a sidecar and a server.
+// link returns the faults of the link between a sidecar and a server.
 func (sim *simulation) link(c *sidecar, s *server) link {
 	if l := s.links[c.number]; l != nil {
 		return *l
@@ -331,40 +338,42 @@
 	return link{}
 }
 
-// latency draws the one-way latency between a sidecar and a server, in ms.
+// latency returns the one-way latency between a sidecar and a server in ms, with random jitter unless a fault sets it.
 func (sim *simulation) latency(c *sidecar, s *server) float64 {
 	if l := s.links[c.number]; l != nil && l.latency > 0 {
 		return l.latency
 	}
-	base := sim.scenario.Network.Latency(sim.plan.Sidecars[c.number].Zone, s.entry.Zone).Milliseconds()
+	base := sim.scenario.Network.Latency(sim.plan.Sidecars[c.number].Zone, s.listEntry.Zone).Milliseconds()
 	return base * (1 + sim.scenario.Network.Jitter*(2*sim.rng.Float64()-1))
 }
 
-// advance brings a pod's model to the current time and schedules the next end of work in it.
+// advance advances a pod's model to the current time and schedules the next advance for the next end of work in the
+// pod.
 func (sim *simulation) advance(p *pod) {
 	next := p.model.Advance(sim.elapsed())
 	if next < 0 {
-		p.nextCheck = -1
+		p.nextAdvance = -1
 		return
 	}
 	due := math.Max(runStart+ms(next), sim.Now())
-	if p.nextCheck >= sim.Now() && p.nextCheck <= due { // already scheduled, soon enough
+	if p.nextAdvance >= sim.Now() && p.nextAdvance <= due { // scheduled early enough already
 		return
 	}
-	p.nextCheck = due
+	p.nextAdvance = due
 	sim.At(due, func() {
-		if p.nextCheck == due {
-			p.nextCheck = -1
+		if p.nextAdvance == due {
+			p.nextAdvance = -1
 			sim.advance(p)
 		}
 	})
 }
 
-// publish notifies all sidecars of a server's state after a delay, the last one a spread later than the first. A notice
-// that a later version has overtaken is dropped: discovery never goes back, as in the lab's agents.
+// publish notifies all sidecars of a server's state after a delay. The notifications are spread evenly over the
+// scenario's discovery spread. A notification that arrives after one of a later version is dropped: as in the lab's
+// agents, discovery never returns to an older state.
 func (sim *simulation) publish(s *server, state balance.ServerState, name string, delay scenario.Duration) {
 	s.listVersion++
-	e, boot, version := s.entry, s.bootMS, s.listVersion
+	e, startedAt, version := s.listEntry, s.startedAtMS, s.listVersion
 	e.State = state
 	if sim.members != nil {
 		sim.After(delay.Milliseconds(), func() {
@@ -380,7 +389,7 @@
 				return
 			}
 			c.notifiedVersion[s.number] = version
-			sim.record(record.Event{Kind: record.Notified, Sidecar: int32(i), Server: int32(s.number), Class: record.None, N: boot, Note: name})
+			sim.record(record.Event{Kind: record.Notified, Sidecar: int32(i), Server: int32(s.number), Class: record.None, N: startedAt, Note: name})
 			c.handle(balance.ServerList{Kind: balance.ListDelta, Servers: []balance.Server{e}})
 		})
 	}
@@ -390,14 +399,16 @@
 	sim.record(record.Event{Kind: record.ServerState, Sidecar: record.None, Server: int32(s.number), Class: record.None, Note: note})
 }
 
+// crashServer ends a server's process and resets the connections of its attempts. If announce is set, discovery removes
+// the server after its crash delay.
 func (sim *simulation) crashServer(s *server, announce bool) {
 	sim.recordServerState(s, "dies")
 	s.down = true
-	s.pod.model.Kill(s.inPod)
+	s.pod.model.Kill(s.indexInPod)
 	sim.advance(s.pod)
-	var cut []*serverAttempt // in the order of their sends, as the order of a map is random
+	var cut []*serverAttempt // sorted by send time below, as the iteration order of maps is random
 	for _, c := range sim.sidecars {
-		delete(c.idle, s.number)
+		delete(c.idleUntil, s.number)
 		for _, t := range c.attempts {
 			for _, a := range t.attempts {
 				if a.server == s && a.reachedServer && !a.ended {
@@ -417,12 +428,13 @@
 	}
 }
 
+// startServer starts a server's process and publishes it as ready.
 func (sim *simulation) startServer(s *server) {
 	sim.recordServerState(s, invariant.ServerStarted)
 	s.down, s.rejects = false, false
-	s.pod.model.Restart(sim.elapsed(), s.inPod)
-	s.bootMS = int64(sim.Now())
-	s.entry.StartedAt = sim.Now()
+	s.pod.model.Restart(sim.elapsed(), s.indexInPod)
+	s.startedAtMS = int64(sim.Now())
+	s.listEntry.StartedAt = sim.Now()
 	if sim.members != nil {
 		sim.members.trackSlowStart(s)
 	}
--- a/internal/lab/simulate/simulate_test.go
+++ b/internal/lab/simulate/simulate_test.go
@@ -15,7 +15,8 @@
 	"marblelane/lab/scenarios"
 )
 
-func parse(t *testing.T, name string) *scenario.Scenario {
+// loadScenario loads a scenario of the lab by name.
+func loadScenario(t *testing.T, name string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenarios.Load(name)
 	if err != nil {
@@ -24,8 +25,8 @@
 	return s
 }
 
-func TestPlay_deterministic(t *testing.T) {
-	s := parse(t, "zone-crash")
+func TestRun_deterministic(t *testing.T) {
+	s := loadScenario(t, "zone-crash")
 	var runs []*simulate.Result
 	for _, seed := range []uint64{5, 5, 6} {
 		r, err := simulate.Run(context.Background(), s.Plan(seed), simulate.Options{})
@@ -42,8 +43,8 @@
 	}
 }
 
-// The invariants are checked on a simulated run as on one of processes: they find a sidecar that makes too many attempts,
-// and servers that bear less than the sidecars' settings say.
+// The invariants apply to a simulated run as to a run of real processes. They detect a sidecar that makes too many
+// attempts, and servers with less capacity in slow start than the sidecars' settings assume.
 func TestPlantedDefectsAreCaught(t *testing.T) {
 	for rule, plant := range map[string]func(s *scenario.Scenario, o *simulate.Options){
 		"": func(*scenario.Scenario, *simulate.Options) {},
@@ -54,23 +55,23 @@
 		"cold": func(s *scenario.Scenario, _ *simulate.Options) { s.Servers.OverloadMultiple = 0.3 },
 	} {
 		t.Run(rule, func(t *testing.T) {
-			s, o := parse(t, "zone-crash"), simulate.Options{}
+			s, o := loadScenario(t, "zone-crash"), simulate.Options{}
 			plant(s, &o)
 			rep, err := lab.Simulate(context.Background(), s, 1, o)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if broken := strings.Join(rep.Verdict.Broken(), ","); broken != rule {
-				t.Errorf("planted against %q, broken: %q", rule, broken)
+				t.Errorf("defect planted against invariant %q: broken invariants %q", rule, broken)
 			}
 		})
 	}
 }
 
-func TestPlay_errors(t *testing.T) {
+func TestRun_errors(t *testing.T) {
 	for name, want := range map[string]string{"freeze": "sidecar-freeze", "registry-kills": "real processes"} {
 		t.Run(name, func(t *testing.T) {
-			_, err := simulate.Run(context.Background(), parse(t, name).Plan(1), simulate.Options{})
+			_, err := simulate.Run(context.Background(), loadScenario(t, name).Plan(1), simulate.Options{})
 			if err == nil || !strings.Contains(err.Error(), want) {
 				t.Error(err)
 			}
@@ -78,48 +79,49 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := simulate.Run(ctx, parse(t, "calm").Plan(1), simulate.Options{}); err == nil {
-		t.Error("a run that was ended says nothing")
+	if _, err := simulate.Run(ctx, loadScenario(t, "calm").Plan(1), simulate.Options{}); err == nil {
+		t.Error("a cancelled run returned no error")
 	}
 }
 
-// The notice that a server is gone takes longer than a quick restart and the notice of that: the older notice is dropped.
-func TestPlay_quickRestart(t *testing.T) {
-	s := parse(t, "zone-rolls")
+// The notification that a server is removed takes longer than a quick restart and its notification. The older
+// notification must be dropped.
+func TestRun_quickRestart(t *testing.T) {
+	s := loadScenario(t, "zone-rolls")
 	p := s.Plan(1)
 	run, err := simulate.Run(context.Background(), p, simulate.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	notified := map[[2]int32]int64{} // by sidecar and server: the latest start
+	notified := map[[2]int32]int64{} // latest start by sidecar and server
 	for _, e := range run.Events {
 		if e.Kind != record.Notified {
 			continue
 		}
 		key := [2]int32{e.Sidecar, e.Server}
 		if e.N < notified[key] {
-			t.Errorf("sidecar %d is notified (%s) of server %d's start at %d after that at %d", e.Sidecar, e.Note, e.Server, e.N, notified[key])
+			t.Errorf("sidecar %d is notified (%s) of the start of server %d at %d after its start at %d", e.Sidecar, e.Note, e.Server, e.N, notified[key])
 		}
 		notified[key] = e.N
 	}
-	late := map[int]int{}
+	sendsAfterFault := map[int]int{}
 	for _, x := range run.Sends {
 		if x.At >= 30000 {
-			late[x.Server]++
+			sendsAfterFault[x.Server]++
 		}
 	}
 	for _, f := range p.Faults {
 		for _, n := range f.Servers {
-			if late[n] == 0 {
-				t.Errorf("server %d restarted and is not used again", n)
+			if sendsAfterFault[n] == 0 {
+				t.Errorf("server %d gets no sends after its restart", n)
 			}
 		}
 	}
 }
 
-// What the report tells of a zone that is lost, held against the sends themselves.
+// Compares the figures of a lost zone with the sends of the run.
 func TestZoneFaults(t *testing.T) {
-	s := parse(t, "zone-lost")
+	s := loadScenario(t, "zone-lost")
 	p := s.Plan(1)
 	run, err := simulate.Run(context.Background(), p, simulate.Options{})
 	if err != nil {
@@ -127,7 +129,7 @@
 	}
 	faults := simulate.ZoneFaults(p, run.Sends)
 	if len(faults) != 1 || len(faults[0].Zones) != 1 || faults[0].Zones[0] != "cork-dc" {
-		t.Fatalf("%+v", faults)
+		t.Fatalf("zone faults %+v, want one of cork-dc", faults)
 	}
 	all, into := 0, 0
 	for _, x := range run.Sends {
@@ -140,48 +142,49 @@
 	}
 	f := faults[0]
 	if into == 0 || f.SendFraction != float64(into)/float64(all) || f.SendsP50 > f.SendsP99 || f.EvacuatedAfter <= 0 || f.PeakLoad <= 0 || f.PeakLoad > 2 {
-		t.Errorf("%d of %d first sends went there: %+v", into, all, f)
+		t.Errorf("%d of %d first sends go into the zone, figures %+v", into, all, f)
 	}
-	if faults := simulate.ZoneFaults(parse(t, "calm").Plan(1), nil); len(faults) != 0 {
-		t.Errorf("without a fault: %+v", faults)
+	if faults := simulate.ZoneFaults(loadScenario(t, "calm").Plan(1), nil); len(faults) != 0 {
+		t.Errorf("zone faults %+v in a scenario without faults", faults)
 	}
 }
 
-// Many sidecars, each of which knows only itself: a lost zone costs each of them few requests, and no invariant is broken.
-// If sidecars never evacuated the zone, they would send 77 to 88 requests there at the 99th percentile, over a quarter of
-// all first sends. The fraction served within the objective is a mean over seeds, as the remaining servers carry all load.
+// With many sidecars that share no state, each sidecar sends few requests into a lost zone, and no invariant is broken.
+// If sidecars never evacuated the zone, they would send 77 to 88 requests there at the 99th percentile, over a quarter
+// of all first sends. The fraction served within the objective is a mean over seeds, as the remaining servers carry all
+// load.
 func TestZoneFaults_lostZone(t *testing.T) {
 	inObjective, seeds := 0.0, uint64(3)
 	for seed := uint64(1); seed <= seeds; seed++ {
-		s := parse(t, "zone-lost")
+		s := loadScenario(t, "zone-lost")
 		s.Sidecars.Count, s.Servers.Count, s.Traffic.Rate = 60, 100, 600
 		rep, err := lab.Simulate(context.Background(), s, seed, simulate.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if f := rep.ZoneFaults[0]; len(rep.Verdict.Counts) > 0 || f.SendsP99 > 20 || f.SendFraction > 0.06 {
-			t.Errorf("seed %d: %v, %+v", seed, rep.Verdict.Counts, f)
+			t.Errorf("seed %d: broken invariants %v, figures %+v", seed, rep.Verdict.Counts, f)
 		}
 		inObjective += rep.Result.Figures.InObjective / float64(seeds)
 	}
 	if inObjective < 0.965 {
-		t.Errorf("%.4f served within the objective", inObjective)
+		t.Errorf("fraction %.4f served within the objective, want at least 0.965", inObjective)
 	}
 }
 
-// Each kind of fault is played by simulated runs, or marked as one of real runs alone.
+// Each kind of fault is supported by simulated runs, or marked as one of real runs only.
 func TestFaultKinds_areSimulatedOrReal(t *testing.T) {
 	simulated := simulate.FaultKinds()
 	for _, kind := range scenario.FaultKinds() {
 		t.Run(kind, func(t *testing.T) {
 			if slices.Contains(simulated, kind) != scenario.IsSimulated(kind) {
-				t.Errorf("package scenario says simulated: %v, package simulate has steps: %v", scenario.IsSimulated(kind), !scenario.IsSimulated(kind))
+				t.Errorf("simulated in package scenario: %v, steps in package simulate: %v", scenario.IsSimulated(kind), !scenario.IsSimulated(kind))
 			}
 		})
 	}
 	for _, kind := range simulated {
 		if !slices.Contains(scenario.FaultKinds(), kind) {
-			t.Errorf("package simulate plays %q, which package scenario does not know", kind)
+			t.Errorf("package simulate supports %q, which is no kind of fault of package scenario", kind)
 		}
 	}
 }
--- a/internal/lab/simulate/zone_faults.go
+++ b/internal/lab/simulate/zone_faults.go
@@ -8,47 +8,50 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// Send is one attempt as its sidecar made it, whether or not it reached its server.
+// Send is one attempt that a sidecar made, whether or not it reached its server.
 type Send struct {
 	At            float64 // ms since the start of the run
 	Sidecar       int
 	Server        int
-	First         bool // of its request
-	NewConnection bool // a connection was opened for it
-	Work          float64
+	First         bool    // first attempt of its client attempt
+	NewConnection bool    // no idle connection was reused
+	Work          float64 // work of the request in milliseconds of a core of speed 1
 }
 
-// ZoneFault measures a fault that hit all servers of some zones. Times are in ms but for From and Until.
+// ZoneFault has the figures of a fault that hit all servers of some zones. Times are in ms, except for From and Until,
+// which are in seconds since the start of the run.
 type ZoneFault struct {
 	Kind  string   `json:"kind"`
 	From  float64  `json:"from_s"`
 	Until float64  `json:"until_s"`
 	Zones []string `json:"zones"`
-	// EvacuatedAfter is the time from the fault's start after which, for the rest of it, less than evacuatedFraction of all
-	// first sends go to the zones; negative: never.
+	// EvacuatedAfter is the time from the fault's start after which less than evacuatedFraction of all first sends go
+	// to the zones until the fault's end. It is negative if there is no such time.
 	EvacuatedAfter float64 `json:"left_ms"`
 	// SendsP50 and SendsP99 are percentiles, over the sidecars, of their first sends into the zones during the fault.
 	SendsP50     float64 `json:"lost_p50"`
 	SendsP99     float64 `json:"lost_p99"`
-	SendFraction float64 `json:"share"` // of all first sends during the fault, those into the zones
-	// PeakLoad is the most work that the other zones' servers were sent in a second of the fault, over their capacity.
+	SendFraction float64 `json:"share"` // fraction of all first sends during the fault that go into the zones
+	// PeakLoad is the greatest work that the other zones' servers were sent in a second of the fault, divided by their
+	// capacity.
 	PeakLoad float64 `json:"peak_load"`
-	// RecoveredAfter is the time from the fault's end after which the zones get recoveredFraction of their usual fraction of
-	// first sends, over recoveryWindow; negative: never.
+	// RecoveredAfter is the time from the fault's end after which the zones get recoveredFraction of their usual
+	// fraction of first sends, over recoveryWindow. It is negative if there is no such time.
 	RecoveredAfter float64 `json:"back_ms"`
 }
 
+// The bounds and windows of the figures of ZoneFault.
 const (
 	evacuatedFraction = 0.01
 	recoveredFraction = 0.8
 	recoveryWindow    = 2000.0 // ms
 	recoveryStep      = 250.0  // ms
-	usualWindow       = 5000.0 // ms before the fault
+	usualWindow       = 5000.0 // ms before the fault, for the usual fraction of first sends
 	loadWindow        = 1000.0 // ms
-	never             = -1.0
+	never             = -1.0   // value of EvacuatedAfter and RecoveredAfter if there is no such time
 )
 
-// ZoneFaults measures all faults that hit whole zones, from what sidecars sent.
+// ZoneFaults computes the figures of all faults that hit whole zones, but not all zones, from the sends of a run.
 func ZoneFaults(p *scenario.Plan, sends []Send) []ZoneFault {
 	var out []ZoneFault
 	for i := range p.Faults {
@@ -71,7 +74,7 @@
 	return out
 }
 
-// zonesHit tells of each zone whether a fault that lasts hits all its servers.
+// zonesHit returns for each zone whether a lasting fault hits all its servers.
 func zonesHit(p *scenario.Plan, f *scenario.FaultPlan) []bool {
 	zones := make([]bool, len(p.Scenario.Network.Zones))
 	for zone := range zones {
@@ -85,10 +88,10 @@
 	return zones
 }
 
-// zoneMeasure measures one fault of whole zones.
+// zoneMeasure computes the figures of one fault of whole zones.
 type zoneMeasure struct {
 	plan        *scenario.Plan
-	sends       []Send // by time
+	sends       []Send // sorted by time
 	hitZones    []bool
 	from, until float64 // ms since the start of the run
 }
@@ -102,12 +105,12 @@
 	out.RecoveredAfter = m.recoveredAfter()
 }
 
-// isHit tells whether a send goes to one of the zones.
-func (m *zoneMeasure) isHit(s *Send) bool { return m.hitZones[m.plan.Servers[s.Server].Zone] }
+// hitsZones reports whether a send goes to one of the zones that the fault hits.
+func (m *zoneMeasure) hitsZones(s *Send) bool { return m.hitZones[m.plan.Servers[s.Server].Zone] }
 
 func (m *zoneMeasure) isDuring(s *Send) bool { return s.At >= m.from && s.At < m.until }
 
-// firstSends gives the times of all first sends during the fault, and of those into the zones.
+// firstSends returns the times of all first sends during the fault, and of those into the zones.
 func (m *zoneMeasure) firstSends() (first, intoZones []float64) {
 	for i := range m.sends {
 		s := &m.sends[i]
@@ -115,14 +118,15 @@
 			continue
 		}
 		first = append(first, s.At)
-		if m.isHit(s) {
+		if m.hitsZones(s) {
 			intoZones = append(intoZones, s.At)
 		}
 	}
 	return first, intoZones
 }
 
-// evacuatedAfter goes back from the last send into the zones, as long as those after it are few among the remaining ones.
+// evacuatedAfter computes ZoneFault.EvacuatedAfter. It goes backwards from the last send into the zones, as long as the
+// sends into the zones after the current one are less than evacuatedFraction of all first sends after it.
 func (m *zoneMeasure) evacuatedAfter(first, intoZones []float64) float64 {
 	evacuated := never
 	for i := len(intoZones); i >= 0; i-- {
@@ -144,11 +148,11 @@
 	return evacuated
 }
 
-// sendPercentiles gives the median and the 99th percentile of the sidecars' first sends into the zones.
+// sendPercentiles returns the median and the 99th percentile, over the sidecars, of the first sends into the zones.
 func (m *zoneMeasure) sendPercentiles() (p50, p99 float64) {
 	counts := make([]float64, len(m.plan.Sidecars))
 	for i := range m.sends {
-		if s := &m.sends[i]; s.First && m.isDuring(s) && m.isHit(s) {
+		if s := &m.sends[i]; s.First && m.isDuring(s) && m.hitsZones(s) {
 			counts[s.Sidecar]++
 		}
 	}
@@ -156,9 +160,9 @@
 	return counts[len(counts)/2], counts[min(len(counts)*99/100, len(counts)-1)]
 }
 
-// peakLoad is the most work that the other zones were sent in a second, over their capacity.
+// peakLoad computes ZoneFault.PeakLoad.
 func (m *zoneMeasure) peakLoad() float64 {
-	capacity := 0.0 // work a millisecond
+	capacity := 0.0 // work per millisecond
 	for i := range m.plan.Servers {
 		if server := &m.plan.Servers[i]; !server.Spare && !m.hitZones[server.Zone] {
 			capacity += m.plan.ServerCapacity(i)
@@ -166,7 +170,7 @@
 	}
 	work := map[int]float64{}
 	for i := range m.sends {
-		if s := &m.sends[i]; m.isDuring(s) && !m.isHit(s) {
+		if s := &m.sends[i]; m.isDuring(s) && !m.hitsZones(s) {
 			work[int((s.At-m.from)/loadWindow)] += s.Work
 		}
 	}
@@ -177,6 +181,7 @@
 	return peak
 }
 
+// recoveredAfter computes ZoneFault.RecoveredAfter.
 func (m *zoneMeasure) recoveredAfter() float64 {
 	_, usual := m.hitFraction(m.from-usualWindow, m.from)
 	end := ms(m.plan.Scenario.Length.Duration())
@@ -188,7 +193,7 @@
 	return never
 }
 
-// hitFraction counts the first sends in a time, and gives the fraction of them that goes to the zones.
+// hitFraction returns the number of first sends in a span, and the fraction of them that goes to the zones.
 func (m *zoneMeasure) hitFraction(from, until float64) (sends int, fraction float64) {
 	hit := 0
 	for i := range m.sends {
@@ -197,18 +202,18 @@
 			continue
 		}
 		sends++
-		if m.isHit(s) {
+		if m.hitsZones(s) {
 			hit++
 		}
 	}
 	return sends, float64(hit) / float64(max(sends, 1))
 }
 
-// PrintZoneFaults writes them as a table.
+// PrintZoneFaults prints the figures of zone faults, two lines for each fault.
 func PrintZoneFaults(w io.Writer, faults []ZoneFault) {
 	for _, f := range faults {
-		fmt.Fprintf(w, "zones %v, %s from %.0f to %.0f s: under 1%% of first sends after %.0f ms (-1: never), %.2f%% of all; a sidecar lost %g (p50), %g (p99);\n"+
-			"  the others were sent up to %.2f of what they can do; back to 0.8 of its share %.0f ms after the end\n",
+		fmt.Fprintf(w, "zones %v, %s from %.0f to %.0f s: under 1%% of first sends after %.0f ms (-1: never), %.2f%% of first sends in total, %g (p50) and %g (p99) per sidecar\n"+
+			"  peak load of the other zones %.2f of their capacity, back to 0.8 of the usual fraction %.0f ms after the end (-1: never)\n",
 			f.Zones, f.Kind, f.From, f.Until, f.EvacuatedAfter, 100*f.SendFraction, f.SendsP50, f.SendsP99, f.PeakLoad, f.RecoveredAfter)
 	}
 }
