--- a/internal/lab/invariant/invariant_test.go
+++ b/internal/lab/invariant/invariant_test.go
@@ -85,14 +85,14 @@
 	}{
 		"in flight at the end":                   {byItself, 900, record.ConnectionLost, 1999, true},
 		"arrived just before the end":            {byItself, 1990, record.ConnectionLost, 1995, true},
-		"response before the end":                {byItself, 900, record.Answered, 1999, false},
-		"its client had disconnected":            {byItself, 900, record.ClientLeft, 1500, false},
+		"response before the end":                {byItself, 900, record.ResponseReceived, 1999, false},
+		"its client had disconnected":            {byItself, 900, record.ClientDisconnected, 1500, false},
 		"connection closed before the read":      {byItself, 1400, record.ConnectionLost, 1401, false},
 		"killed, arrived before SIGTERM":         {killed, 900, record.ConnectionLost, 4701, false},
 		"killed, arrived early enough":           {killed, 1700, record.ConnectionLost, 4701, false},
 		"killed, arrived late":                   {killed, 1701, record.ConnectionLost, 4701, true},
-		"arrived late, response before the kill": {killed, 1701, record.Answered, 4000, false},
-		"overdue before the kill":                {killed, 900, record.NoAnswer, 3000, true},
+		"arrived late, response before the kill": {killed, 1701, record.ResponseReceived, 4000, false},
+		"overdue before the kill":                {killed, 900, record.NoResponse, 3000, true},
 	} {
 		events := append(append(slices.Clone(up), c.end...), client(c.sent, record.Sent), client(c.after, c.then))
 		slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.T - b.T) })
