--- a/cmd/marblelane/lab_crowd.go
+++ b/cmd/marblelane/lab_crowd.go
@@ -34,7 +34,7 @@
 	for _, n := range c.Callers {
 		for _, capacity := range c.Capacity {
 			for _, waste := range []bool{false, true} {
-				r, err := crowd.Run(crowd.Spec{Callers: n, Servers: c.Servers, Capacity: capacity, CallTimeout: ms(c.Patience), Spread: 100,
+				r, err := crowd.Run(crowd.Spec{Callers: n, Servers: c.Servers, Capacity: capacity, CallTimeout: ms(c.Patience), StartSpread: 100,
 					Length: ms(c.Length), PollInterval: 10000, MaxPollBackoff: ms(c.Pause), WastesFailedCalls: waste, Seed: c.Seed})
 				if err != nil {
 					return err
@@ -47,8 +47,8 @@
 		fmt.Fprintf(w, "%8s %8s %6s %7s %9s %7s %6s %9s %9s %7s\n", "sidecars", "lines/s", "waste", "calls", "answered", "failed",
 			"told", "p50 s", "last s", "useful")
 		for _, r := range rows {
-			fmt.Fprintf(w, "%8d %8.0f %6v %7d %9d %7d %6d %9.1f %9.1f %6.1f%%\n", r.Callers, r.Capacity, r.Waste, r.Calls, r.Answered,
-				r.Failed, r.HaveList, r.P50/1000, r.Last/1000, 100*r.Useful)
+			fmt.Fprintf(w, "%8d %8.0f %6v %7d %9d %7d %6d %9.1f %9.1f %6.1f%%\n", r.Callers, r.Capacity, r.Waste, r.Calls, r.Succeeded,
+				r.Failed, r.HaveList, r.P50/1000, r.Max/1000, 100*r.Useful)
 		}
 	})
 }
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// lateAnswerGrace is how long after its timeout a client still reads. An answer by then is late; without one, the record
+	// lateResponseGrace is how long after its timeout a client still reads. An answer by then is late; without one, the record
 	// has a NoAnswer event.
-	lateAnswerGrace = 500 * time.Millisecond
+	lateResponseGrace = 500 * time.Millisecond
 	// maxIdle is the longest time that a connection is idle before it is discarded.
 	maxIdle     = 30 * time.Second
 	dialTimeout = time.Second
@@ -44,28 +44,28 @@
 
 // NewRequestLog makes an empty store.
 func NewRequestLog() *RequestLog {
-	b := &RequestLog{}
-	for i := range b.shards {
-		b.shards[i].requests = map[uint64]stock.ClientRequest{}
+	l := &RequestLog{}
+	for i := range l.shards {
+		l.shards[i].requests = map[uint64]stock.ClientRequest{}
 	}
-	return b
+	return l
 }
 
 // Find finds a request that this log has recorded as sent, by its ID.
-func (b *RequestLog) Find(id uint64) (stock.ClientRequest, bool) {
-	p := &b.shards[id%16]
-	p.mu.RLock()
-	defer p.mu.RUnlock()
-	a, ok := p.requests[id]
-	return a, ok
+func (l *RequestLog) Find(id uint64) (stock.ClientRequest, bool) {
+	shard := &l.shards[id%16]
+	shard.mu.RLock()
+	defer shard.mu.RUnlock()
+	request, ok := shard.requests[id]
+	return request, ok
 }
 
 // Add stores a request under its id.
-func (b *RequestLog) Add(id uint64, a stock.ClientRequest) {
-	p := &b.shards[id%16]
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.requests[id] = a
+func (l *RequestLog) Add(id uint64, request stock.ClientRequest) {
+	shard := &l.shards[id%16]
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	shard.requests[id] = request
 }
 
 // Load sends a plan's arrivals.
@@ -75,12 +75,12 @@
 	Requests *RequestLog
 	// Addr is where the clients of a sidecar connect at this moment.
 	Addr func(sidecar int) string
-	// Closed tells whether a sidecar's clients may open no connection at this moment; nil: they always may. They then
+	// DialsBlocked tells whether a sidecar's clients may open no connection at this moment; nil: they always may. They then
 	// use their open connections round-robin, so that each one is exercised.
-	Closed func(sidecar int) bool
+	DialsBlocked func(sidecar int) bool
 
 	pools    []pool
-	waiting  awaitingAnswer
+	awaiting awaitingResponse
 	inFlight atomic.Int64
 	wg       sync.WaitGroup
 }
@@ -131,32 +131,32 @@
 // sendRequest sends one request and its retries.
 func (l *Load) sendRequest(ctx context.Context, arrivalIndex int, a *scenario.Arrival) {
 	s := l.Plan.Scenario
-	r := rand.New(rand.NewPCG(a.Seed, uint64(arrivalIndex)))
+	rng := rand.New(rand.NewPCG(a.Seed, uint64(arrivalIndex)))
 	class := &s.Classes[a.Class]
 	deadline := a.At + s.Scaled(class.Deadline)
-	honorsRetryAfter := r.Float64() < s.Traffic.ObeysRetryAfter
+	honorsRetryAfter := rng.Float64() < s.Traffic.ObeysRetryAfter
 	for attemptNumber := 1; attemptNumber <= 1+s.Traffic.Retries; attemptNumber++ {
-		noise := 0.9 + 0.2*r.Float64() // factor on the attempt's part of the deadline, drawn for each attempt
+		noise := 0.9 + 0.2*rng.Float64() // factor on the attempt's part of the deadline, drawn for each attempt
 		timeout := min(time.Duration(float64(s.Scaled(class.Deadline))*min(s.Traffic.AttemptTimeoutFraction*noise, 1)), deadline-l.Log.Now())
 		if s.Traffic.Retries == 0 {
 			timeout = deadline - l.Log.Now()
 		}
 		leaveAfter := time.Duration(0)
-		if r.Float64() < s.Traffic.EarlyLeaveFraction {
-			leaveAfter = time.Duration(float64(timeout) * r.Float64())
+		if rng.Float64() < s.Traffic.EarlyLeaveFraction {
+			leaveAfter = time.Duration(float64(timeout) * rng.Float64())
 		}
 		if timeout < time.Millisecond || ctx.Err() != nil {
 			return
 		}
-		t := &attempt{load: l, arrival: a, arrivalIndex: arrivalIndex, attemptNumber: attemptNumber, id: r.Uint64()>>12 | 1,
+		t := &attempt{load: l, arrival: a, arrivalIndex: arrivalIndex, attemptNumber: attemptNumber, id: rng.Uint64()>>12 | 1,
 			timeout: timeout, leaveAfter: leaveAfter}
-		v := t.run(ctx)
-		if v.status == http.StatusOK {
+		result := t.run(ctx)
+		if result.status == http.StatusOK {
 			return
 		}
 		wait := s.Scaled(s.Traffic.Backoff)
-		if honorsRetryAfter && v.retryAfter > 0 {
-			wait = v.retryAfter
+		if honorsRetryAfter && result.retryAfter > 0 {
+			wait = result.retryAfter
 		}
 		if wait > 0 {
 			pause(ctx, wait)
@@ -177,7 +177,7 @@
 // timeoutMS is the value of X-Timeout-Ms, in milliseconds.
 func (t *attempt) timeoutMS() int64 { return max(t.timeout.Milliseconds(), 1) }
 
-func (t *attempt) note(k record.Kind, e record.Event) {
+func (t *attempt) recordEvent(k record.Kind, e record.Event) {
 	e.Kind, e.Request, e.Sidecar = k, t.id, int32(t.arrival.Sidecar)
 	e.Server, e.Class, e.N = record.None, int16(t.arrival.Class), max(e.N, int64(t.arrivalIndex))
 	t.load.Log.Add(e)
@@ -209,24 +209,24 @@
 	}
 	p := &t.load.pools[t.arrival.Sidecar]
 	addr := t.load.Addr(t.arrival.Sidecar)
-	closed := func() bool { return t.load.Closed != nil && t.load.Closed(t.arrival.Sidecar) }
-	c := p.take(addr, closed())
+	dialsBlocked := func() bool { return t.load.DialsBlocked != nil && t.load.DialsBlocked(t.arrival.Sidecar) }
+	c := p.take(addr, dialsBlocked())
 	for {
 		reused := c != nil
 		if c == nil {
-			if closed() {
-				t.note(record.NotSent, record.Event{Note: "no connection is open, and no new one may be opened"})
+			if dialsBlocked() {
+				t.recordEvent(record.NotSent, record.Event{Note: "no connection is open, and no new one may be opened"})
 				return attemptResult{notSent: true}
 			}
 			var err error
 			if c, err = dial(ctx, addr, min(t.timeout, dialTimeout)); err != nil {
-				t.note(record.NotSent, record.Event{Note: "connect: " + err.Error()})
+				t.recordEvent(record.NotSent, record.Event{Note: "connect: " + err.Error()})
 				return attemptResult{notSent: true}
 			}
 		}
-		v, resend := t.exchange(ctx, c, p, message, sum, method, behaviour)
+		result, resend := t.exchange(ctx, c, p, message, sum, method, behaviour)
 		if !resend || !reused {
-			return v
+			return result
 		}
 		// A reused connection was closed while the request was sent: send it again on a new one.
 		c = nil
@@ -235,15 +235,15 @@
 
 // exchange sends the attempt on one connection. resend is set if it was closed without a byte of an answer.
 func (t *attempt) exchange(ctx context.Context, c *conn, p *pool, message []byte, sum uint64, method string,
-	behaviour clientBehaviour) (v attemptResult, resend bool) {
+	behaviour clientBehaviour) (result attemptResult, resend bool) {
 	started := time.Now()
 	_ = c.SetDeadline(started.Add(t.timeout)) // on a closed connection the write below fails
 	if _, err := c.Write(message); err != nil {
 		c.Close()
-		t.note(record.NotSent, record.Event{Note: "write: " + err.Error()})
+		t.recordEvent(record.NotSent, record.Event{Note: "write: " + err.Error()})
 		return attemptResult{notSent: true}, true
 	}
-	t.note(record.Sent, record.Event{Attempt: int16(t.attemptNumber), Sum: sum, Work: float64(t.timeoutMS())})
+	t.recordEvent(record.Sent, record.Event{Attempt: int16(t.attemptNumber), Sum: sum, Work: float64(t.timeoutMS())})
 	if behaviour.pipelined == pipelinedLater {
 		// A write error means that the connection is closed, which the read below reports.
 		defer time.AfterFunc(pipelineDelay, func() { _, _ = io.WriteString(c, partialNextRequest) }).Stop()
@@ -253,79 +253,79 @@
 	if t.leaveAfter > 0 {
 		_ = c.SetDeadline(started.Add(t.leaveAfter))
 	}
-	t.load.waiting.add(t, c)
-	_, err := c.in.Peek(1)
-	t.load.waiting.remove(t)
+	t.load.awaiting.add(t, c)
+	_, err := c.reader.Peek(1)
+	t.load.awaiting.remove(t)
 	if err != nil {
 		switch {
 		case ctx.Err() != nil:
-			t.note(record.NoAnswer, record.Event{Note: record.RunEnded})
+			t.recordEvent(record.NoAnswer, record.Event{Note: record.RunEnded})
 			c.Close()
 			return attemptResult{}, false
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			c.Close()
-			t.note(record.ConnectionLost, record.Event{Note: "no byte of an answer: " + err.Error()})
+			t.recordEvent(record.ConnectionLost, record.Event{Note: "no byte of an answer: " + err.Error()})
 			return attemptResult{}, true
 		case t.leaveAfter > 0 || t.leaveRequested.Load():
-			t.leave(c, behaviour.leaveWay)
+			t.leave(c, behaviour.leaveMode)
 			return attemptResult{}, false
 		}
-		t.note(record.Overdue, record.Event{})
+		t.recordEvent(record.Overdue, record.Event{})
 		// The sidecar still has to answer the accepted request; the client's retry does not wait for that.
 		t.load.wg.Go(func() {
 			defer c.Close()
-			_ = c.SetDeadline(started.Add(t.timeout + lateAnswerGrace))
-			if _, err := c.in.Peek(1); err != nil {
-				t.note(record.NoAnswer, record.Event{Note: err.Error()})
+			_ = c.SetDeadline(started.Add(t.timeout + lateResponseGrace))
+			if _, err := c.reader.Peek(1); err != nil {
+				t.recordEvent(record.NoAnswer, record.Event{Note: err.Error()})
 				return
 			}
-			t.readAnswer(c, method)
+			t.readResponse(c, method)
 		})
 		return attemptResult{}, false
 	}
 	_ = c.SetDeadline(time.Now().Add(max(t.timeout, time.Second)))
-	v, keep := t.readAnswer(c, method)
+	result, keep := t.readResponse(c, method)
 	if !keep || behaviour.pipelined != notPipelined {
 		c.Close()
-		return v, false
+		return result, false
 	}
 	p.put(c)
-	return v, false
+	return result, false
 }
 
-// readAnswer reads the answer whose first byte has arrived.
-func (t *attempt) readAnswer(c *conn, method string) (v attemptResult, keep bool) {
-	resp, err := http.ReadResponse(c.in, &http.Request{Method: method})
+// readResponse reads the answer whose first byte has arrived.
+func (t *attempt) readResponse(c *conn, method string) (result attemptResult, keep bool) {
+	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	var body []byte
 	if err == nil {
 		body, err = io.ReadAll(resp.Body)
 		resp.Body.Close()
 	}
 	if err != nil {
-		t.note(record.ConnectionLost, record.Event{Note: "in its answer: " + err.Error()})
+		t.recordEvent(record.ConnectionLost, record.Event{Note: "in its answer: " + err.Error()})
 		return attemptResult{}, false
 	}
 	e := record.Event{Status: int32(resp.StatusCode), Sum: record.Sum(body)}
 	if resp.StatusCode == http.StatusOK {
 		e.Want = record.Sum(stock.Body(t.id, t.load.Plan.Scenario.Traffic.AnswerBytes))
 	}
-	t.note(record.Answered, e)
-	if c.in.Buffered() > 0 {
-		t.note(record.ExtraBytes, record.Event{})
+	t.recordEvent(record.Answered, e)
+	if c.reader.Buffered() > 0 {
+		t.recordEvent(record.ExtraBytes, record.Event{})
 		return attemptResult{status: resp.StatusCode}, false
 	}
 	if after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		v.retryAfter = time.Duration(after * float64(time.Second))
+		result.retryAfter = time.Duration(after * float64(time.Second))
 	}
-	v.status = resp.StatusCode
+	result.status = resp.StatusCode
 	c.lastAttempt = t
-	return v, !resp.Close
+	return result, !resp.Close
 }
 
 // conn is a connection to a sidecar.
 type conn struct {
 	net.Conn
-	in          *bufio.Reader
+	reader      *bufio.Reader
 	addr        string
 	idleSince   time.Time
 	lastAttempt *attempt // the attempt whose answer it carried last
@@ -337,7 +337,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, in: bufio.NewReaderSize(c, 4<<10), addr: addr}, nil
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, 4<<10), addr: addr}, nil
 }
 
 // pool keeps the idle connections to one sidecar.
@@ -390,8 +390,8 @@
 // usable tells whether an idle connection is open and has no unread bytes. Unread bytes belong to no request and are
 // recorded.
 func (c *conn) usable() bool {
-	if c.in.Buffered() > 0 {
-		c.lastAttempt.note(record.ExtraBytes, record.Event{})
+	if c.reader.Buffered() > 0 {
+		c.lastAttempt.recordEvent(record.ExtraBytes, record.Event{})
 		return false
 	}
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
@@ -403,7 +403,7 @@
 		n, _, failed = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	if n > 0 {
-		c.lastAttempt.note(record.ExtraBytes, record.Event{})
+		c.lastAttempt.recordEvent(record.ExtraBytes, record.Event{})
 	}
 	return err == nil && errors.Is(failed, unix.EAGAIN)
 }
--- a/internal/lab/client/leave.go
+++ b/internal/lab/client/leave.go
@@ -26,24 +26,24 @@
 // clientBehaviour is how an attempt's client deviates from a plain exchange. It is drawn from the attempt's id, so that it
 // does not change other random draws.
 type clientBehaviour struct {
-	leaveWay  string // how it ends the connection if it leaves early: one of scenario.LeaveModes
+	leaveMode string // how it ends the connection if it leaves early: one of scenario.LeaveModes
 	pipelined int    // when it sends partialNextRequest
 }
 
 func (t *attempt) drawBehaviour() clientBehaviour {
 	traffic := &t.load.Plan.Scenario.Traffic
-	r := rand.New(rand.NewPCG(t.id, 0x6c65617665))
-	way := traffic.LeaveModes[r.IntN(len(traffic.LeaveModes))]
-	h := clientBehaviour{leaveWay: way, pipelined: notPipelined}
-	if r.Float64() < traffic.PipelinedFraction {
-		h.pipelined = pipelinedWithRequest + r.IntN(2)
+	rng := rand.New(rand.NewPCG(t.id, 0x6c65617665))
+	leaveMode := traffic.LeaveModes[rng.IntN(len(traffic.LeaveModes))]
+	behaviour := clientBehaviour{leaveMode: leaveMode, pipelined: notPipelined}
+	if rng.Float64() < traffic.PipelinedFraction {
+		behaviour.pipelined = pipelinedWithRequest + rng.IntN(2)
 	}
-	return h
+	return behaviour
 }
 
 // leave ends the attempt's connection before its answer has arrived.
-func (t *attempt) leave(c *conn, way string) {
-	switch way {
+func (t *attempt) leave(c *conn, mode string) {
+	switch mode {
 	case scenario.LeaveHalfClose:
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
 			_ = tcp.CloseWrite() // fails only if the connection has ended
@@ -57,24 +57,24 @@
 	default:
 		c.Close()
 	}
-	t.note(record.ClientLeft, record.Event{Note: way})
+	t.recordEvent(record.ClientLeft, record.Event{Note: mode})
 }
 
 // drain reads and discards what still arrives on a half-closed connection, up to the attempt's timeout and the grace
 // period.
 func (t *attempt) drain(c *conn) {
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(t.timeout + lateAnswerGrace)) // on a closed connection the read below fails
-	_, _ = io.Copy(io.Discard, c.in)                               // the client has left: the bytes are discarded
+	_ = c.SetDeadline(time.Now().Add(t.timeout + lateResponseGrace)) // on a closed connection the read below fails
+	_, _ = io.Copy(io.Discard, c.reader)                             // the client has left: the bytes are discarded
 }
 
-// awaitingAnswer has the attempts whose clients wait for an answer.
-type awaitingAnswer struct {
+// awaitingResponse has the attempts whose clients wait for an answer.
+type awaitingResponse struct {
 	mu       sync.Mutex
 	attempts map[*attempt]*conn
 }
 
-func (w *awaitingAnswer) add(t *attempt, c *conn) {
+func (w *awaitingResponse) add(t *attempt, c *conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.attempts == nil {
@@ -83,7 +83,7 @@
 	w.attempts[t] = c
 }
 
-func (w *awaitingAnswer) remove(t *attempt) {
+func (w *awaitingResponse) remove(t *attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.attempts, t)
@@ -91,9 +91,9 @@
 
 // LeaveEarly makes the clients of a fraction of the attempts that wait for an answer of these sidecars leave immediately.
 func (l *Load) LeaveEarly(sidecars []int, fraction float64) {
-	l.waiting.mu.Lock()
-	defer l.waiting.mu.Unlock()
-	for t, c := range l.waiting.attempts {
+	l.awaiting.mu.Lock()
+	defer l.awaiting.mu.Unlock()
+	for t, c := range l.awaiting.attempts {
 		if !slices.Contains(sidecars, t.arrival.Sidecar) || rand.New(rand.NewPCG(t.id, 1)).Float64() >= fraction {
 			continue
 		}
--- a/internal/lab/cluster/clients.go
+++ b/internal/lab/cluster/clients.go
@@ -27,43 +27,43 @@
 // writer writes and reads single entries through replicas drawn at random, as fast as its pause lets it.
 func (c *Cluster) writer(ctx context.Context, number int) {
 	rng := rand.New(rand.NewPCG(c.Plan.Seed, uint64(number)+1))
-	known := map[string]int64{} // the last revision of each entry that it has seen
-	old := map[string]operation{}
+	lastRevs := map[string]int64{} // the last revision of each entry that it has seen
+	firstReads := map[string]operation{}
 	for ctx.Err() == nil {
 		key := fmt.Sprint("s-", rng.IntN(c.config.Entries))
-		op := operation{key: key, client: number, kind: opPut, condition: -1}
+		op := operation{key: key, client: number, kind: opWrite, condition: -1}
 		switch x := rng.Float64(); {
 		case x < 0.3:
-			op.kind = opGet
+			op.kind = opRead
 		case x < 0.4:
 			op.kind = opRemove
 		}
-		if op.kind != opGet && rng.Float64() < 0.5 {
-			op.condition = known[key]
+		if op.kind != opRead && rng.Float64() < 0.5 {
+			op.condition = lastRevs[key]
 		}
-		if op.kind == opPut {
+		if op.kind == opWrite {
 			op.value = c.lastValue.Add(1)
 		}
 		replica := c.Replicas[rng.IntN(len(c.Replicas))]
-		op.call = c.Events.Now()
-		if was, ok := old[key]; ok && op.kind == opGet && c.servesStaleReads.Load() {
-			op.outcome, op.gotValue, op.gotRev = was.outcome, was.gotValue, was.gotRev
+		op.called = c.Events.Now()
+		if firstRead, ok := firstReads[key]; ok && op.kind == opRead && c.servesStaleReads.Load() {
+			op.outcome, op.returnedValue, op.returnedRev = firstRead.outcome, firstRead.returnedValue, firstRead.returnedRev
 		} else {
 			c.execute(&op, replica)
 		}
 		op.returned = c.Events.Now()
 		if op.outcome == outcomeOK {
-			known[key] = op.gotRev
-			if op.kind == opGet {
-				if _, ok := old[key]; !ok {
-					old[key] = op
+			lastRevs[key] = op.returnedRev
+			if op.kind == opRead {
+				if _, ok := firstReads[key]; !ok {
+					firstReads[key] = op
 				}
 			}
 		}
 		c.mu.Lock()
 		c.history = append(c.history, op)
-		if op.outcome == outcomeOK && op.kind == opPut {
-			c.acknowledged = append(c.acknowledged, ackedWrite{op.gotRev, op.call, op.returned})
+		if op.outcome == outcomeOK && op.kind == opWrite {
+			c.acknowledged = append(c.acknowledged, ackedWrite{op.returnedRev, op.called, op.returned})
 		}
 		c.mu.Unlock()
 		select {
@@ -78,7 +78,7 @@
 	url := "http://" + replica.Address + "/registry/instances/" + op.key
 	method, body := http.MethodGet, []byte(nil)
 	switch op.kind {
-	case opPut:
+	case opWrite:
 		method = http.MethodPost
 		body = fmt.Appendf(nil, `{"endpoint":"127.0.0.1:1","az":"a","boot_ms":%d}`, op.value)
 	case opRemove:
@@ -104,7 +104,7 @@
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	var got struct {
+	var response struct {
 		Rev     int64 `json:"rev"`
 		Changed int64 `json:"changed"`
 		BootMS  int64 `json:"boot_ms"`
@@ -112,10 +112,10 @@
 	switch {
 	case err != nil:
 		op.outcome = outcomeUnknown
-	case resp.StatusCode == http.StatusOK && json.Unmarshal(text, &got) == nil:
-		op.outcome, op.gotRev = outcomeOK, max(got.Rev, got.Changed)
-		op.gotValue = got.BootMS
-	case resp.StatusCode == http.StatusNotFound && op.kind == opGet:
+	case resp.StatusCode == http.StatusOK && json.Unmarshal(text, &response) == nil:
+		op.outcome, op.returnedRev = outcomeOK, max(response.Rev, response.Changed)
+		op.returnedValue = response.BootMS
+	case resp.StatusCode == http.StatusNotFound && op.kind == opRead:
 		op.outcome = outcomeOK // there is none
 	case resp.StatusCode == http.StatusConflict:
 		op.outcome = outcomeConflict
@@ -132,25 +132,25 @@
 func (c *Cluster) reader(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(c.Plan.Seed, 1<<40))
 	for ctx.Err() == nil {
-		good := false
+		succeeded := false
 		for _, i := range rng.Perm(len(c.Replicas)) {
-			one := listRead{replica: c.Replicas[i].Name, called: c.Events.Now()}
-			code, head, _, err := CallWithHeader(context.WithoutCancel(ctx), "GET", "http://"+c.Replicas[i].Address+"/registry/instances", nil)
-			if good = err == nil && code == http.StatusOK; !good {
+			read := listRead{replica: c.Replicas[i].Name, called: c.Events.Now()}
+			code, header, _, err := CallWithHeader(context.WithoutCancel(ctx), "GET", "http://"+c.Replicas[i].Address+"/registry/instances", nil)
+			if succeeded = err == nil && code == http.StatusOK; !succeeded {
 				continue
 			}
-			one.rev, _ = strconv.ParseInt(head.Get("X-Registry-Rev"), 10, 64) // 0 where there is no list yet
-			if ms, err := strconv.Atoi(head.Get("X-Registry-Heard-Ms")); err != nil {
-				c.breach("age-told", fmt.Sprintf("copy %s gives a list without its age", one.replica))
-			} else if one.age = time.Duration(ms) * time.Millisecond; c.reportsZeroAge.Load() {
-				one.age = 0
+			read.rev, _ = strconv.ParseInt(header.Get("X-Registry-Rev"), 10, 64) // 0 where there is no list yet
+			if ms, err := strconv.Atoi(header.Get("X-Registry-Heard-Ms")); err != nil {
+				c.recordBreach("age-told", fmt.Sprintf("copy %s gives a list without its age", read.replica))
+			} else if read.age = time.Duration(ms) * time.Millisecond; c.reportsZeroAge.Load() {
+				read.age = 0
 			}
 			c.mu.Lock()
-			c.reads = append(c.reads, one)
+			c.reads = append(c.reads, read)
 			c.mu.Unlock()
 			break
 		}
-		if !good {
+		if !succeeded {
 			c.mu.Lock()
 			c.failedReads++
 			c.mu.Unlock()
@@ -193,8 +193,8 @@
 func (w *watcher) watch(ctx context.Context, replica *Replica) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	guard := time.AfterFunc(watchSilenceTimeout, cancel)
-	defer guard.Stop()
+	silenceTimer := time.AfterFunc(watchSilenceTimeout, cancel)
+	defer silenceTimer.Stop()
 	w.mu.Lock()
 	after := w.rev
 	w.mu.Unlock()
@@ -210,69 +210,69 @@
 	if resp.StatusCode != http.StatusOK {
 		return
 	}
-	for in := bufio.NewReader(resp.Body); ; {
-		line, err := in.ReadBytes('\n')
+	for lines := bufio.NewReader(resp.Body); ; {
+		line, err := lines.ReadBytes('\n')
 		if err != nil {
 			return
 		}
-		guard.Reset(watchSilenceTimeout)
+		silenceTimer.Reset(watchSilenceTimeout)
 		if line = bytes.TrimSpace(line); len(line) == 0 {
 			continue
 		}
-		var l state.List
-		if err := json.Unmarshal(line, &l); err != nil {
-			w.cluster.breach("watchers-agree", fmt.Sprintf("a line that cannot be read: %v", err))
+		var list state.List
+		if err := json.Unmarshal(line, &list); err != nil {
+			w.cluster.recordBreach("watchers-agree", fmt.Sprintf("a line that cannot be read: %v", err))
 			return
 		}
 		w.cluster.watchLines.Add(1)
-		w.apply(&l)
+		w.applyLine(&list)
 	}
 }
 
-// apply applies a line and compares the list with what others had at this revision.
-func (w *watcher) apply(l *state.List) {
+// applyLine applies a line and compares the list with what others had at this revision.
+func (w *watcher) applyLine(line *state.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !l.All && l.Rev <= w.rev {
-		w.cluster.breach("watchers-agree", fmt.Sprintf("after revision %d a change of revision %d was told", w.rev, l.Rev))
+	if !line.All && line.Rev <= w.rev {
+		w.cluster.recordBreach("watchers-agree", fmt.Sprintf("after revision %d a change of revision %d was told", w.rev, line.Rev))
 	}
-	if !l.All && w.cluster.dropsWatchLines.Load() && w.rng.Float64() < 0.05 {
-		w.rev = l.Rev // planted: the line is lost, and its revision is not
+	if !line.All && w.cluster.dropsWatchLines.Load() && w.rng.Float64() < 0.05 {
+		w.rev = line.Rev // planted: the line is lost, and its revision is not
 		return
 	}
-	if l.All {
+	if line.All {
 		clear(w.list)
 	}
-	for _, e := range l.Targets {
+	for _, e := range line.Targets {
 		if e.State == state.Gone {
 			delete(w.list, e.UID)
 		} else {
 			w.list[e.UID] = e
 		}
 	}
-	w.rev = l.Rev
-	w.firstSeen = append(w.firstSeen, ackedWrite{rev: l.Rev, acknowledged: w.cluster.Events.Now()})
-	w.cluster.checkListHash(l.Rev, listHash(w.list))
+	w.rev = line.Rev
+	w.firstSeen = append(w.firstSeen, ackedWrite{rev: line.Rev, acknowledged: w.cluster.Events.Now()})
+	w.cluster.checkListHash(line.Rev, listHash(w.list))
 }
 
 func listHash(list map[string]state.Entry) uint64 {
-	all := make([]state.Entry, 0, len(list))
+	entries := make([]state.Entry, 0, len(list))
 	for _, e := range list {
-		all = append(all, e)
+		entries = append(entries, e)
 	}
-	slices.SortFunc(all, func(a, b state.Entry) int { return strings.Compare(a.UID, b.UID) })
-	return record.Sum(fmt.Append(nil, all))
+	slices.SortFunc(entries, func(a, b state.Entry) int { return strings.Compare(a.UID, b.UID) })
+	return record.Sum(fmt.Append(nil, entries))
 }
 
 // checkListHash compares a list to what others had at the same revision.
 func (c *Cluster) checkListHash(rev int64, hash uint64) {
 	c.mu.Lock()
-	was, ok := c.listHashes[rev]
+	recorded, ok := c.listHashes[rev]
 	if !ok {
 		c.listHashes[rev] = hash
 	}
 	c.mu.Unlock()
-	if ok && was != hash {
-		c.breach("watchers-agree", fmt.Sprintf("two watchers have different lists at revision %d", rev))
+	if ok && recorded != hash {
+		c.recordBreach("watchers-agree", fmt.Sprintf("two watchers have different lists at revision %d", rev))
 	}
 }
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -249,15 +249,15 @@
 
 // Leader finds the replica that leads and has begun a history; nil: there is none.
 func (c *Cluster) Leader(ctx context.Context) *Replica {
-	var best *Replica
+	var leader *Replica
 	for _, replica := range c.Replicas {
-		var st listserver.Status
+		var status listserver.Status
 		code, text, err := Call(ctx, http.MethodGet, replica.URL("/registry/status"), nil)
-		if err == nil && code == http.StatusOK && json.Unmarshal(text, &st) == nil && st.Leads && st.Rev > 0 {
-			best = replica
+		if err == nil && code == http.StatusOK && json.Unmarshal(text, &status) == nil && status.Leads && status.Rev > 0 {
+			leader = replica
 		}
 	}
-	return best
+	return leader
 }
 
 // AwaitLeader waits until a replica leads.
@@ -273,7 +273,7 @@
 // maxBreachTexts is how many breaches of each rule are kept with their text. All are counted.
 const maxBreachTexts = 3
 
-func (c *Cluster) breach(rule, text string) {
+func (c *Cluster) recordBreach(rule, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.breachCounts[rule]++; c.breachCounts[rule] <= maxBreachTexts {
--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -57,17 +57,17 @@
 var injectors = map[string]injector{
 	"copy-kill":           (*Cluster).killReplicas,
 	"copy-freeze":         (*Cluster).freezeReplicas,
-	"copy-cut":            (*Cluster).partition,
+	"copy-cut":            (*Cluster).partitionReplicas,
 	"copy-disk-full":      (*Cluster).fillDisks,
 	"copy-disk-lost":      (*Cluster).loseDisks,
 	"copy-disk-slow":      (*Cluster).slowDisks,
 	"copy-clock":          (*Cluster).stepClocks,
-	"copy-sync-kept":      syncFault(fault.SyncErrorPersisted),
-	"copy-sync-lost":      syncFault(fault.SyncErrorLost),
-	"defect-unheard-disk": syncFault(fault.SyncSilentLoss),
-	"defect-stale-read":   defect(func(c *Cluster) *atomic.Bool { return &c.servesStaleReads }),
-	"defect-fresh-claim":  defect(func(c *Cluster) *atomic.Bool { return &c.reportsZeroAge }),
-	"defect-skipped-line": defect(func(c *Cluster) *atomic.Bool { return &c.dropsWatchLines }),
+	"copy-sync-kept":      failSyncs(fault.SyncErrorPersisted),
+	"copy-sync-lost":      failSyncs(fault.SyncErrorLost),
+	"defect-unheard-disk": failSyncs(fault.SyncSilentLoss),
+	"defect-stale-read":   plantDefect(func(c *Cluster) *atomic.Bool { return &c.servesStaleReads }),
+	"defect-fresh-claim":  plantDefect(func(c *Cluster) *atomic.Bool { return &c.reportsZeroAge }),
+	"defect-skipped-line": plantDefect(func(c *Cluster) *atomic.Bool { return &c.dropsWatchLines }),
 }
 
 // InjectFault starts a fault, and gives the function that ends it.
@@ -83,8 +83,8 @@
 	return inject(c, ctx, f, chosen)
 }
 
-// defect is a planted defect that a flag turns on.
-func defect(flag func(*Cluster) *atomic.Bool) injector {
+// plantDefect is a planted plantDefect that a flag turns on.
+func plantDefect(flag func(*Cluster) *atomic.Bool) injector {
 	return func(c *Cluster, _ context.Context, _ *scenario.FaultPlan, _ []*Replica) (func() error, error) {
 		flag(c).Store(true)
 		return func() error { flag(c).Store(false); return nil }, nil
@@ -111,7 +111,7 @@
 			return err
 		}
 	}
-	return c.catchUp(ctx, chosen)
+	return c.measureCatchUp(ctx, chosen)
 }
 
 func (c *Cluster) freezeReplicas(_ context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
@@ -126,8 +126,8 @@
 	return func() error { return signal(syscall.SIGCONT) }, signal(syscall.SIGSTOP)
 }
 
-// partition cuts replicas off from the others.
-func (c *Cluster) partition(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
+// partitionReplicas cuts replicas off from the others.
+func (c *Cluster) partitionReplicas(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
 	heal := func() error { return c.setPartition(chosen, f.Fault.Direction, false) }
 	return heal, c.setPartition(chosen, f.Fault.Direction, true)
 }
@@ -136,7 +136,7 @@
 const fullDiskBytes = 4096
 
 func (c *Cluster) fillDisks(ctx context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
-	failed, err := c.failDisks(chosen, func() error {
+	failures, err := c.failDisks(chosen, func() error {
 		for _, replica := range chosen {
 			if err := replica.Process().FillDisk(fullDiskBytes); err != nil {
 				return err
@@ -144,7 +144,7 @@
 		}
 		return nil
 	})
-	return func() error { return c.healDisks(ctx, failed, func() error { return freeDisks(failed) }) }, err
+	return func() error { return c.healDisks(ctx, failures, func() error { return freeDisks(failures) }) }, err
 }
 
 func (c *Cluster) loseDisks(ctx context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
@@ -158,37 +158,37 @@
 }
 
 func (c *Cluster) slowDisks(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
-	return c.writeFaults(chosen, fault.NewConfig(0, sizeInSeconds(f), ""))
+	return c.writeFaults(chosen, fault.NewConfig(0, sizeAsDuration(f), ""))
 }
 
 func (c *Cluster) stepClocks(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
-	return c.writeFaults(chosen, fault.NewConfig(sizeInSeconds(f), 0, ""))
+	return c.writeFaults(chosen, fault.NewConfig(sizeAsDuration(f), 0, ""))
 }
 
-func sizeInSeconds(f *scenario.FaultPlan) time.Duration {
+func sizeAsDuration(f *scenario.FaultPlan) time.Duration {
 	return time.Duration(f.Fault.Size * float64(time.Second))
 }
 
-// syncFault lets the syncs of disks fail.
-func syncFault(kind fault.SyncFault) injector {
+// failSyncs lets the syncs of disks fail.
+func failSyncs(kind fault.SyncFault) injector {
 	return func(c *Cluster, ctx context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
 		var heal func() error
-		failed, err := c.failDisks(chosen, func() (err error) {
+		failures, err := c.failDisks(chosen, func() (err error) {
 			heal, err = c.writeFaults(chosen, fault.NewConfig(0, 0, kind))
 			return err
 		})
-		return func() error { return c.healDisks(ctx, failed, heal) }, err
+		return func() error { return c.healDisks(ctx, failures, heal) }, err
 	}
 }
 
-// catchUp measures how long replicas that have just been started take until they have the list of that moment.
-func (c *Cluster) catchUp(ctx context.Context, chosen []*Replica) error {
-	at, want := c.Events.Now(), c.newestAcknowledged()
+// measureCatchUp measures how long replicas that have just been started take until they have the list of that moment.
+func (c *Cluster) measureCatchUp(ctx context.Context, chosen []*Replica) error {
+	start, wantRev := c.Events.Now(), c.newestAcknowledged()
 	for _, replica := range chosen {
 		for {
-			var st listserver.Status
+			var status listserver.Status
 			code, text, err := Call(ctx, "GET", "http://"+replica.Address+"/registry/status", nil)
-			if err == nil && code == http.StatusOK && json.Unmarshal(text, &st) == nil && st.Rev >= want {
+			if err == nil && code == http.StatusOK && json.Unmarshal(text, &status) == nil && status.Rev >= wantRev {
 				break
 			}
 			if !harness.Sleep(ctx, 5*time.Millisecond) {
@@ -196,15 +196,15 @@
 			}
 		}
 		c.mu.Lock()
-		c.restartDelays = append(c.restartDelays, c.Events.Now()-at)
+		c.restartDelays = append(c.restartDelays, c.Events.Now()-start)
 		c.mu.Unlock()
 	}
 	return nil
 }
 
 // writeFaults injects faults into the processes of replicas.
-func (c *Cluster) writeFaults(chosen []*Replica, set fault.Config) (undo func() error, err error) {
-	all := func(set fault.Config) error {
+func (c *Cluster) writeFaults(chosen []*Replica, config fault.Config) (undo func() error, err error) {
+	writeAll := func(set fault.Config) error {
 		for _, replica := range chosen {
 			if err := set.Write(replica.faultsFile()); err != nil {
 				return err
@@ -212,12 +212,12 @@
 		}
 		return nil
 	}
-	return func() error { return all(fault.Config{}) }, all(set)
+	return func() error { return writeAll(fault.Config{}) }, writeAll(config)
 }
 
 // freeDisks empties the disks of replicas.
-func freeDisks(failed []*diskFailure) error {
-	for _, f := range failed {
+func freeDisks(failures []*diskFailure) error {
+	for _, f := range failures {
 		if err := f.child.FreeDisk(); err != nil {
 			return err
 		}
@@ -225,14 +225,14 @@
 	return nil
 }
 
-// revisionOf is the revision that a replica has applied; 0 where it does not say.
-func (c *Cluster) revisionOf(replica *Replica) int64 {
-	var st listserver.Status
+// appliedRevision is the revision that a replica has applied; 0 where it does not say.
+func (c *Cluster) appliedRevision(replica *Replica) int64 {
+	var status listserver.Status
 	code, text, err := Call(context.Background(), "GET", "http://"+replica.Address+"/registry/status", nil)
-	if err != nil || code != http.StatusOK || json.Unmarshal(text, &st) != nil {
+	if err != nil || code != http.StatusOK || json.Unmarshal(text, &status) != nil {
 		return 0
 	}
-	return st.Rev
+	return status.Rev
 }
 
 // diskRecoveryTimeout is how long a replica may take from when its disk works again until it has the list of that moment.
@@ -241,26 +241,26 @@
 // diskFailure is a replica whose disk fails.
 type diskFailure struct {
 	*Replica
-	child          *process.Child // as it ran when the disk began to fail
-	loggedBefore   int            // failures of its disk in its log before
-	revisionFailed int64          // its revision once the disk failed
-	revisionHealed int64          // its revision when the disk works again; 0: it did not say
+	child             *process.Child // as it ran when the disk began to fail
+	loggedBefore      int            // failures of its disk in its log before
+	revisionAtFailure int64          // its revision once the disk failed
+	revisionAtHeal    int64          // its revision when the disk works again; 0: it did not say
 }
 
 // failDisks makes the disks of replicas fail, and notes how the replicas are: what their logs have said is from before, as
 // they may notice at once, and their revisions are from after.
 func (c *Cluster) failDisks(chosen []*Replica, fail func() error) ([]*diskFailure, error) {
-	var out []*diskFailure
+	var failures []*diskFailure
 	for _, replica := range chosen {
-		out = append(out, &diskFailure{Replica: replica, child: replica.Process(), loggedBefore: replica.loggedDiskFailures()})
+		failures = append(failures, &diskFailure{Replica: replica, child: replica.Process(), loggedBefore: replica.loggedDiskFailures()})
 	}
 	if err := fail(); err != nil {
 		return nil, err
 	}
-	for _, f := range out {
-		f.revisionFailed = c.revisionOf(f.Replica)
+	for _, f := range failures {
+		f.revisionAtFailure = c.appliedRevision(f.Replica)
 	}
-	return out, nil
+	return failures, nil
 }
 
 // loggedDiskFailures returns how often the replica's log reports a failed disk write.
@@ -274,9 +274,9 @@
 
 // healDisks makes disks work again. Each copy that noticed has to be there by itself within diskHealWait; one that
 // did not must not have written anything.
-func (c *Cluster) healDisks(ctx context.Context, failed []*diskFailure, heal func() error) error {
-	for _, f := range failed {
-		f.revisionHealed = c.revisionOf(f.Replica)
+func (c *Cluster) healDisks(ctx context.Context, failures []*diskFailure, heal func() error) error {
+	for _, f := range failures {
+		f.revisionAtHeal = c.appliedRevision(f.Replica)
 	}
 	healed := c.Events.Now()
 	if err := heal(); err != nil {
@@ -284,7 +284,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), harness.StartTimeout)
 	defer cancel()
-	for _, f := range failed {
+	for _, f := range failures {
 		if err := c.checkDiskFailure(ctx, f, healed); err != nil {
 			return err
 		}
@@ -302,7 +302,7 @@
 	c.mu.Unlock()
 	select {
 	case <-f.child.Ended():
-		c.breach("disk-honest", fmt.Sprintf("copy %s ended when its disk failed: %v", f.Name, f.child.Err()))
+		c.recordBreach("disk-honest", fmt.Sprintf("copy %s ended when its disk failed: %v", f.Name, f.child.Err()))
 		return c.Launch(ctx, f.Replica)
 	default:
 	}
@@ -310,10 +310,10 @@
 		c.awaitRecovery(ctx, f, healed)
 		return nil
 	}
-	if f.revisionHealed > f.revisionFailed {
-		c.breach("disk-honest", fmt.Sprintf(
+	if f.revisionAtHeal > f.revisionAtFailure {
+		c.recordBreach("disk-honest", fmt.Sprintf(
 			"copy %s goes on although its disk takes no more: it has applied revision %d since, after %d",
-			f.Name, f.revisionHealed, f.revisionFailed))
+			f.Name, f.revisionAtHeal, f.revisionAtFailure))
 		f.child.Kill()
 		return c.Launch(ctx, f.Replica)
 	}
@@ -327,11 +327,11 @@
 
 // awaitRecovery waits for a replica whose disk works again, and measures how long it takes.
 func (c *Cluster) awaitRecovery(ctx context.Context, f *diskFailure, healed time.Duration) {
-	want := c.newestAcknowledged()
-	for c.revisionOf(f.Replica) < want {
-		late := c.Events.Now()-healed > diskRecoveryTimeout
-		if late || !harness.Sleep(ctx, 5*time.Millisecond) {
-			c.breach("disk-honest", fmt.Sprintf("copy %s is not back %v after its disk works again", f.Name, diskRecoveryTimeout))
+	wantRev := c.newestAcknowledged()
+	for c.appliedRevision(f.Replica) < wantRev {
+		timedOut := c.Events.Now()-healed > diskRecoveryTimeout
+		if timedOut || !harness.Sleep(ctx, 5*time.Millisecond) {
+			c.recordBreach("disk-honest", fmt.Sprintf("copy %s is not back %v after its disk works again", f.Name, diskRecoveryTimeout))
 			return
 		}
 	}
@@ -355,10 +355,10 @@
 func (c *Cluster) rejoinEmpty(ctx context.Context, chosen []*Replica) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), harness.StartTimeout)
 	defer cancel()
-	atLeader := func(method, path string, body []byte) error {
+	callLeader := func(method, path string, body []byte) error {
 		for {
-			if lead := c.Leader(ctx); lead != nil {
-				code, text, err := Call(ctx, method, "http://"+lead.Address+path, body)
+			if leader := c.Leader(ctx); leader != nil {
+				code, text, err := Call(ctx, method, "http://"+leader.Address+path, body)
 				if err == nil && code == http.StatusOK {
 					return nil
 				}
@@ -370,7 +370,7 @@
 		}
 	}
 	for _, replica := range chosen {
-		if err := atLeader("DELETE", "/registry/copies/"+replica.Name, nil); err != nil {
+		if err := callLeader("DELETE", "/registry/copies/"+replica.Name, nil); err != nil {
 			return err
 		}
 		text := fmt.Sprintf("name = %q\nlisten = %q\nraft = %q\nadvertise = %q\ndir = %q\nbeat = %q\njoin = true\n%s", replica.Name, replica.Address,
@@ -385,7 +385,7 @@
 		if err != nil {
 			return err
 		}
-		if err := atLeader("POST", "/registry/copies/"+replica.Name, body); err != nil {
+		if err := callLeader("POST", "/registry/copies/"+replica.Name, body); err != nil {
 			return err
 		}
 	}
@@ -393,44 +393,44 @@
 }
 
 // selectReplicas finds the replicas that a fault means, at the moment it happens.
-func (c *Cluster) selectReplicas(ctx context.Context, pick string) []*Replica {
-	lead := c.Leader(ctx)
+func (c *Cluster) selectReplicas(ctx context.Context, selector string) []*Replica {
+	leader := c.Leader(ctx)
 	var others []*Replica
 	for _, replica := range c.Replicas {
-		if replica != lead {
+		if replica != leader {
 			others = append(others, replica)
 		}
 	}
 	switch {
-	case pick == "all":
+	case selector == "all":
 		return c.Replicas
-	case pick == "leader" && lead != nil:
-		return []*Replica{lead}
-	case pick == "majority":
+	case selector == "leader" && leader != nil:
+		return []*Replica{leader}
+	case selector == "majority":
 		return c.Replicas[:len(c.Replicas)/2+1]
-	case pick[0] == '#':
-		i, _ := strconv.Atoi(pick[1:])
+	case selector[0] == '#':
+		i, _ := strconv.Atoi(selector[1:])
 		return c.Replicas[i : i+1]
 	}
 	return others[:1] // a follower; any replica, if there is no leader at this moment
 }
 
 // setPartition cuts replicas from the others: what comes to them ("to"), what goes out from them ("from"), or both.
-func (c *Cluster) setPartition(chosen []*Replica, way string, on bool) error {
-	inside := func(n int) bool {
+func (c *Cluster) setPartition(chosen []*Replica, direction string, on bool) error {
+	isChosen := func(n int) bool {
 		return slices.ContainsFunc(chosen, func(replica *Replica) bool { return replica.Number == n })
 	}
 	for from := range c.Replicas {
 		for to := range c.Replicas {
-			if inside(from) == inside(to) {
+			if isChosen(from) == isChosen(to) {
 				continue
 			}
 			// A link carries calls one way and their answers the other; a cut of what comes to a replica silences the
 			// calls to it and the answers to its own calls.
 			cut := relay.Both
-			if way == "to" == inside(to) && way != "both" {
+			if direction == "to" == isChosen(to) && direction != "both" {
 				cut = relay.To
-			} else if way != "both" {
+			} else if direction != "both" {
 				cut = relay.From
 			}
 			c.links[from][to].Set(func(r *relay.Rules) {
@@ -438,11 +438,11 @@
 					r.Cut |= cut
 				}
 			})
-			do := c.Replicas[to].raftProxy.Heal
+			updateProxy := c.Replicas[to].raftProxy.Heal
 			if c.links[from][to].Rules().Cut != 0 {
-				do = c.Replicas[to].raftProxy.Cut
+				updateProxy = c.Replicas[to].raftProxy.Cut
 			}
-			if err := do(from); err != nil {
+			if err := updateProxy(from); err != nil {
 				return err
 			}
 		}
--- a/internal/lab/cluster/linearizability.go
+++ b/internal/lab/cluster/linearizability.go
@@ -13,8 +13,8 @@
 type opKind uint8
 
 const (
-	opGet opKind = iota
-	opPut
+	opRead opKind = iota
+	opWrite
 	opRemove
 )
 
@@ -29,15 +29,15 @@
 
 // operation is one call and what came of it.
 type operation struct {
-	key            string
-	client         int
-	kind           opKind
-	value          int64 // that a put writes; no two write the same
-	condition      int64 // revision of the entry's last change; 0: there is none; -1: in any case
-	outcome        outcome
-	gotRev         int64
-	gotValue       int64
-	call, returned time.Duration
+	key              string
+	client           int
+	kind             opKind
+	value            int64 // that a put writes; no two write the same
+	condition        int64 // revision of the entry's last change; 0: there is none; -1: in any case
+	outcome          outcome
+	returnedRev      int64
+	returnedValue    int64
+	called, returned time.Duration
 }
 
 // register is one entry as the model has it.
@@ -48,51 +48,51 @@
 
 const unknownRevision = -1
 
-// model is one entry that is put, removed and read. A write without an answer may have happened or not, at any time
+// entryModel is one entry that is put, removed and read. A write without an answer may have happened or not, at any time
 // until the end.
-func model() porcupine.Model {
+func entryModel() porcupine.Model {
 	m := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{register{}} },
 		Step: func(state, input, output any) []any {
 			s, op := state.(register), input.(operation)
-			mayHold := op.condition < 0 || s.rev == unknownRevision || s.rev == op.condition
-			mayFail := op.condition >= 0 && (s.rev == unknownRevision || s.rev != op.condition)
-			after := register{}
-			if op.kind == opPut {
-				after = register{op.value, unknownRevision}
+			conditionMayHold := op.condition < 0 || s.rev == unknownRevision || s.rev == op.condition
+			conditionMayFail := op.condition >= 0 && (s.rev == unknownRevision || s.rev != op.condition)
+			applied := register{}
+			if op.kind == opWrite {
+				applied = register{op.value, unknownRevision}
 			}
 			switch op.outcome {
 			case outcomeConflict:
-				if mayFail {
+				if conditionMayFail {
 					return []any{s}
 				}
 				return nil
 			case outcomeUnknown:
-				if op.kind == opGet {
+				if op.kind == opRead {
 					return []any{s}
 				}
-				if mayHold {
-					return []any{s, after}
+				if conditionMayHold {
+					return []any{s, applied}
 				}
 				return []any{s}
 			}
-			if op.kind == opGet {
-				if s.value != op.gotValue || s.rev != unknownRevision && s.rev != op.gotRev {
+			if op.kind == opRead {
+				if s.value != op.returnedValue || s.rev != unknownRevision && s.rev != op.returnedRev {
 					return nil
 				}
-				return []any{register{op.gotValue, op.gotRev}}
+				return []any{register{op.returnedValue, op.returnedRev}}
 			}
 			if op.kind == opRemove {
 				// One that finds nothing is answered too, whatever its condition.
-				if s.value == 0 || mayHold {
+				if s.value == 0 || conditionMayHold {
 					return []any{register{}}
 				}
 				return nil
 			}
-			if !mayHold || s.rev != unknownRevision && op.gotRev <= s.rev {
+			if !conditionMayHold || s.rev != unknownRevision && op.returnedRev <= s.rev {
 				return nil
 			}
-			return []any{register{op.value, op.gotRev}}
+			return []any{register{op.value, op.returnedRev}}
 		},
 	}
 	return m.ToModel()
@@ -112,10 +112,10 @@
 		if op.outcome == outcomeUnknown {
 			end = math.MaxInt64
 		}
-		byKey[op.key] = append(byKey[op.key], porcupine.Operation{ClientId: op.client, Input: op, Call: int64(op.call), Return: end})
+		byKey[op.key] = append(byKey[op.key], porcupine.Operation{ClientId: op.client, Input: op, Call: int64(op.called), Return: end})
 	}
 	for key, history := range byKey {
-		switch porcupine.CheckOperationsTimeout(model(), history, historyCheckTimeout) {
+		switch porcupine.CheckOperationsTimeout(entryModel(), history, historyCheckTimeout) {
 		case porcupine.Illegal:
 			return fmt.Sprintf("no order of single steps explains the %d calls on entry %s", len(history), key)
 		case porcupine.Unknown:
--- a/internal/lab/cluster/operators.go
+++ b/internal/lab/cluster/operators.go
@@ -15,11 +15,11 @@
 	if !c.Scenario.HasRoutes() {
 		return ""
 	}
-	keys := fmt.Sprintf("routes = %q\n", c.operatorsFile())
+	lines := fmt.Sprintf("routes = %q\n", c.operatorsFile())
 	if d := c.Scenario.Routes.Defect; d != "" {
-		keys += fmt.Sprintf("lab_route_defect = %q\n", d)
+		lines += fmt.Sprintf("lab_route_defect = %q\n", d)
 	}
-	return keys
+	return lines
 }
 
 func (c *Cluster) operatorsFile() string { return filepath.Join(c.Dir, "operators.toml") }
@@ -29,31 +29,31 @@
 	if !c.Scenario.HasRoutes() {
 		return nil
 	}
-	o := &c.Scenario.Routes
+	routes := &c.Scenario.Routes
 	file := map[string]any{}
-	for key, d := range map[string]scenario.Duration{"term": o.LeaseTerm, "behind_after": o.StragglerAfter, "shut_after": o.ShutOutAfter, "gone_after": o.GoneAfter} {
+	for key, d := range map[string]scenario.Duration{"term": routes.LeaseTerm, "behind_after": routes.StragglerAfter, "shut_after": routes.ShutOutAfter, "gone_after": routes.GoneAfter} {
 		if d > 0 {
 			file[key] = d.Duration().String()
 		}
 	}
-	if o.MaxStragglerFraction > 0 {
-		file["behind_share"] = o.MaxStragglerFraction
+	if routes.MaxStragglerFraction > 0 {
+		file["behind_share"] = routes.MaxStragglerFraction
 	}
 	var subsets, tenants []map[string]any
-	for _, sub := range o.Subsets {
-		one := map[string]any{"name": sub.Name}
-		if sub.Servers != "" { // drawn: by their names
+	for _, subset := range routes.Subsets {
+		fields := map[string]any{"name": subset.Name}
+		if subset.Servers != "" { // drawn: by their names
 			var uids []string
-			for _, i := range c.Plan.Subsets[sub.Name] {
+			for _, i := range c.Plan.Subsets[subset.Name] {
 				uids = append(uids, c.Plan.Servers[i].UID)
 			}
-			one["uid"] = uids
+			fields["uid"] = uids
 		} else {
-			one["model"], one["pod_group"], one["az"] = sub.Kinds, sub.Pods, sub.Zones
+			fields["model"], fields["pod_group"], fields["az"] = subset.Kinds, subset.Pods, subset.Zones
 		}
-		subsets = append(subsets, one)
+		subsets = append(subsets, fields)
 	}
-	for _, t := range o.Tenants {
+	for _, t := range routes.Tenants {
 		tenants = append(tenants, map[string]any{"name": t.Name, "subsets": t.Subsets, "max_share": t.MaxFraction, "rollouts": t.MaxRollouts,
 			"changes_per_minute": 6000.0, "max_budget": 1_000_000})
 	}
--- a/internal/lab/cluster/result.go
+++ b/internal/lab/cluster/result.go
@@ -20,15 +20,15 @@
 		ReadsLost: c.failedReads, Lines: c.watchLines.Load(), Rejoins: c.rewatches.Load()}
 	c.countOperations(out)
 	if text := checkLinearizable(c.history); text != "" {
-		c.breach("linearizable", text)
+		c.recordBreach("linearizable", text)
 	}
 	if text := checkListAges(c.reads, c.acknowledged); text != "" {
-		c.breach("age-told", text)
+		c.recordBreach("age-told", text)
 	}
-	c.sumTimes(out, watchers)
+	c.summarizeTimes(out, watchers)
 	out.Parties = c.measureReplicas()
 	return &report.Report{Scenario: c.Scenario.Name, Title: c.Scenario.Title, Seed: c.Plan.Seed,
-		LengthS: c.Scenario.Length.Duration().Seconds(), Registry: out, Verdict: c.verdict(), Lateness: lateness(timerLag)}
+		LengthS: c.Scenario.Length.Duration().Seconds(), Registry: out, Verdict: c.verdict(), Lateness: timerLateness(timerLag)}
 }
 
 // countOperations counts the calls of the writers by their outcome.
@@ -42,7 +42,7 @@
 			out.Rejected++
 		case op.outcome == outcomeUnknown:
 			out.Unknown++
-		case op.kind == opGet:
+		case op.kind == opRead:
 			out.Gets++
 		default:
 			out.Writes++
@@ -53,8 +53,8 @@
 // maxKnownAge is the greatest age of a list that counts: a replica that has just started knows no age.
 const maxKnownAge = time.Hour
 
-// sumTimes sums up how long replicas, disks, writes and watchers took.
-func (c *Cluster) sumTimes(out *report.RegistryResult, watchers []*watcher) {
+// summarizeTimes sums up how long replicas, disks, writes and watchers took.
+func (c *Cluster) summarizeTimes(out *report.RegistryResult, watchers []*watcher) {
 	for _, read := range c.reads {
 		if read.age < maxKnownAge {
 			out.OldestMS = max(out.OldestMS, milliseconds(read.age))
@@ -116,8 +116,8 @@
 	return &invariant.Verdict{Counts: c.breachCounts, Breaches: c.breaches, Checked: checked}
 }
 
-// lateness judges the run by the timers of the lab alone, as it has no planned arrivals.
-func lateness(timerLag []time.Duration) (l report.Lateness) {
+// timerLateness judges the run by the timers of the lab alone, as it has no planned arrivals.
+func timerLateness(timerLag []time.Duration) (l report.Lateness) {
 	slices.Sort(timerLag)
 	l.LagMS = percentile(timerLag, 0.99)
 	l.TooBig = l.LagMS > milliseconds(report.MaxLatenessP99)
@@ -132,11 +132,11 @@
 	for i := 1; i < len(acks); i++ { // the greatest revision acknowledged by then
 		acks[i].rev = max(acks[i].rev, acks[i-1].rev)
 	}
-	for _, one := range reads {
-		i, _ := slices.BinarySearchFunc(acks, one.called-one.age, func(a ackedWrite, at time.Duration) int { return cmp.Compare(a.acknowledged, at) })
-		if i > 0 && acks[i-1].rev > one.rev {
+	for _, read := range reads {
+		i, _ := slices.BinarySearchFunc(acks, read.called-read.age, func(a ackedWrite, at time.Duration) int { return cmp.Compare(a.acknowledged, at) })
+		if i > 0 && acks[i-1].rev > read.rev {
 			return fmt.Sprintf("copy %s gave a list of revision %d with an age of %v; revision %d had been acknowledged %v before the call",
-				one.replica, one.rev, one.age, acks[i-1].rev, one.called-acks[i-1].acknowledged)
+				read.replica, read.rev, read.age, acks[i-1].rev, read.called-acks[i-1].acknowledged)
 		}
 	}
 	return ""
@@ -144,7 +144,7 @@
 
 // propagationTimes is, for each write, the time from its call until the last watcher had its revision; sorted.
 func propagationTimes(acks []ackedWrite, watchers []*watcher) []time.Duration {
-	var out []time.Duration
+	var times []time.Duration
 	for _, a := range acks {
 		last := time.Duration(0)
 		for _, w := range watchers {
@@ -157,15 +157,15 @@
 			last = max(last, w.firstSeen[i].acknowledged)
 		}
 		if last > 0 {
-			out = append(out, last-a.called)
+			times = append(times, last-a.called)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(times)
+	return times
 }
 
-// AddTo adds the rules that the replicas broke to a verdict.
-func (c *Cluster) AddTo(v *invariant.Verdict) {
+// AddBreachesTo adds the rules that the replicas broke to a verdict.
+func (c *Cluster) AddBreachesTo(v *invariant.Verdict) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for rule, n := range c.breachCounts {
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -62,11 +62,11 @@
 		return err
 	}
 	r.awaitConvergence(ctx, r.watchers)
-	r.endWatchers()
+	r.stopWatchers()
 	return nil
 }
 
-func (r *registryRun) endWatchers() {
+func (r *registryRun) stopWatchers() {
 	r.stopWatching()
 	r.watching.Wait()
 }
@@ -85,7 +85,7 @@
 
 // Close ends the watchers and the replicas.
 func (r *registryRun) Close() {
-	r.endWatchers()
+	r.stopWatchers()
 	r.Stop()
 }
 
@@ -97,35 +97,35 @@
 	ctx, cancel := context.WithTimeout(ctx, convergenceTimeout)
 	defer cancel()
 	for {
-		behind, wrong := 0, 0
-		var l state.List
-		if lead := c.Leader(ctx); lead != nil {
-			if code, text, err := Call(ctx, http.MethodGet, lead.URL("/registry/instances"), nil); err == nil && code == http.StatusOK {
-				_ = json.Unmarshal(text, &l) // an unreadable one has no revision, and all are behind
+		behind, differing := 0, 0
+		var list state.List
+		if leader := c.Leader(ctx); leader != nil {
+			if code, text, err := Call(ctx, http.MethodGet, leader.URL("/registry/instances"), nil); err == nil && code == http.StatusOK {
+				_ = json.Unmarshal(text, &list) // an unreadable one has no revision, and all are behind
 			}
 		}
 		want := map[string]state.Entry{}
-		for _, e := range l.Targets {
+		for _, e := range list.Targets {
 			want[e.UID] = e
 		}
 		for _, w := range watchers {
 			w.mu.Lock()
-			if w.rev != l.Rev {
+			if w.rev != list.Rev {
 				behind++
 			} else if listHash(w.list) != listHash(want) {
-				wrong++
+				differing++
 			}
 			w.mu.Unlock()
 		}
-		if wrong > 0 {
-			c.breach("watchers-agree", fmt.Sprintf("%d of %d watchers have another list than the leader at revision %d", wrong, len(watchers), l.Rev))
+		if differing > 0 {
+			c.recordBreach("watchers-agree", fmt.Sprintf("%d of %d watchers have another list than the leader at revision %d", differing, len(watchers), list.Rev))
 			return
 		}
-		if behind == 0 && l.Rev > 0 {
+		if behind == 0 && list.Rev > 0 {
 			return
 		}
 		if !harness.Sleep(ctx, 50*time.Millisecond) {
-			c.breach("watchers-agree", fmt.Sprintf("%d of %d watchers have not heard the last change after %v", behind, len(watchers), convergenceTimeout))
+			c.recordBreach("watchers-agree", fmt.Sprintf("%d of %d watchers have not heard the last change after %v", behind, len(watchers), convergenceTimeout))
 			return
 		}
 	}
@@ -136,9 +136,9 @@
 	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
 	for {
-		op := operation{key: "last", kind: opPut, value: c.lastValue.Add(1), condition: -1, client: c.config.Writers}
-		if lead := c.Leader(ctx); lead != nil {
-			if c.execute(&op, lead); op.outcome == outcomeOK {
+		op := operation{key: "last", kind: opWrite, value: c.lastValue.Add(1), condition: -1, client: c.config.Writers}
+		if leader := c.Leader(ctx); leader != nil {
+			if c.execute(&op, leader); op.outcome == outcomeOK {
 				return nil
 			}
 		}
--- a/internal/lab/crowd/crowd.go
+++ b/internal/lab/crowd/crowd.go
@@ -22,7 +22,7 @@
 	Servers      int     // lines of the whole list
 	Capacity     float64 // lines a second that the service sends
 	CallTimeout  float64 // how long a call may wait in the queue
-	Spread       float64 // within which all sidecars start
+	StartSpread  float64 // within which all sidecars start
 	Length       float64
 	PollInterval float64 // the settings' rules.ask_within_ms
 	// LongestPause is balance.Config's, which sidecars set; 0: none.
@@ -33,32 +33,32 @@
 
 // Result is what came of it.
 type Result struct {
-	Calls    int     `json:"calls"`
-	Answered int     `json:"answered"`
-	Failed   int     `json:"failed"`
-	HaveList int     `json:"told"` // sidecars that have a list at the end
-	P50      float64 `json:"told_p50_ms"`
-	P99      float64 `json:"told_p99_ms"` // of those that have a list, since the first started
-	Last     float64 `json:"told_last_ms"`
-	Busy     float64 `json:"busy"`   // share of the service's time that went into calls
-	Useful   float64 `json:"useful"` // ... into calls that were answered
+	Calls     int     `json:"calls"`
+	Succeeded int     `json:"answered"`
+	Failed    int     `json:"failed"`
+	HaveList  int     `json:"told"` // sidecars that have a list at the end
+	P50       float64 `json:"told_p50_ms"`
+	P99       float64 `json:"told_p99_ms"` // of those that have a list, since the first started
+	Max       float64 `json:"told_last_ms"`
+	Busy      float64 `json:"busy"`   // share of the service's time that went into calls
+	Useful    float64 `json:"useful"` // ... into calls that were answered
 }
 
 // simulation is a run in progress.
 type simulation struct {
 	simclock.Clock
-	spec    Spec
-	servers []balance.Server
-	callers []*caller
-	idleAt  float64 // when the service has finished all calls that are queued
-	busy    float64
-	useful  float64
-	out     Result
+	spec       Spec
+	servers    []balance.Server
+	callers    []*caller
+	idleAt     float64 // when the service has finished all calls that are queued
+	busyTime   float64
+	usefulTime float64
+	counts     Result
 }
 
 type caller struct {
-	b      *balance.Balancer
-	listAt float64 // when it got its first list; negative: not yet
+	balancer    *balance.Balancer
+	firstListAt float64 // when it got its first list; negative: not yet
 }
 
 // Run simulates one spec.
@@ -66,9 +66,9 @@
 	if spec.Callers < 1 || spec.Servers < 1 || !(spec.Capacity > 0) || !(spec.Length > 0) {
 		return nil, errors.New("crowd: callers, servers, capacity and length have to be over 0")
 	}
-	w := &simulation{spec: spec}
+	sim := &simulation{spec: spec}
 	for i := range spec.Servers {
-		w.servers = append(w.servers, balance.Server{ID: balance.ServerID(i + 1), Rating: 1})
+		sim.servers = append(sim.servers, balance.Server{ID: balance.ServerID(i + 1), Rating: 1})
 	}
 	for i := range spec.Callers {
 		b, err := balance.New(balance.Config{Seed: spec.Seed + uint64(i)*7919, Number: i, Peers: spec.Callers, Subscribe: true,
@@ -76,65 +76,65 @@
 		if err != nil {
 			return nil, fmt.Errorf("crowd: %w", err)
 		}
-		c := &caller{b: b, listAt: -1}
-		w.callers = append(w.callers, c)
-		start := spec.Spread * float64(i) / float64(spec.Callers)
-		w.At(start, func() { w.execute(c, b.Start(w.Now())) })
+		c := &caller{balancer: b, firstListAt: -1}
+		sim.callers = append(sim.callers, c)
+		start := spec.StartSpread * float64(i) / float64(spec.Callers)
+		sim.At(start, func() { sim.execute(c, b.Start(sim.Now())) })
 	}
-	for w.Step(spec.Length) {
+	for sim.Step(spec.Length) {
 	}
-	return w.result(), nil
+	return sim.result(), nil
 }
 
-func (w *simulation) execute(c *caller, actions []balance.Action) {
+func (s *simulation) execute(c *caller, actions []balance.Action) {
 	for _, a := range slices.Clone(actions) {
 		switch a.Kind {
 		case balance.Watch:
-			w.queueCall(c)
+			s.queueCall(c)
 		case balance.SetTimer:
-			w.At(w.Now()+a.At, func() { w.handleEvent(c, balance.Timer{Token: a.Token}) })
+			s.At(s.Now()+a.At, func() { s.handleEvent(c, balance.Timer{Token: a.Token}) })
 		}
 	}
 }
 
-func (w *simulation) handleEvent(c *caller, ev balance.Event) {
-	actions, err := c.b.Handle(w.Now(), ev)
+func (s *simulation) handleEvent(c *caller, ev balance.Event) {
+	actions, err := c.balancer.Handle(s.Now(), ev)
 	if err == nil {
-		w.execute(c, actions)
+		s.execute(c, actions)
 	}
 }
 
 // queueCall queues a call. The queue is first in, first out, so the start of the call is known at once.
-func (w *simulation) queueCall(c *caller) {
-	w.out.Calls++
-	begin := math.Max(w.idleAt, w.Now())
-	cost := 1000 * float64(len(w.servers)) / w.spec.Capacity
-	if begin-w.Now() > w.spec.CallTimeout {
-		if w.spec.WastesFailedCalls {
-			w.idleAt, w.busy = begin+cost, w.busy+cost
+func (s *simulation) queueCall(c *caller) {
+	s.counts.Calls++
+	begin := math.Max(s.idleAt, s.Now())
+	cost := 1000 * float64(len(s.servers)) / s.spec.Capacity
+	if begin-s.Now() > s.spec.CallTimeout {
+		if s.spec.WastesFailedCalls {
+			s.idleAt, s.busyTime = begin+cost, s.busyTime+cost
 		}
-		w.At(w.Now()+w.spec.CallTimeout, func() {
-			w.out.Failed++
-			w.handleEvent(c, balance.ServerList{Kind: balance.ListFailed, Busy: true})
+		s.At(s.Now()+s.spec.CallTimeout, func() {
+			s.counts.Failed++
+			s.handleEvent(c, balance.ServerList{Kind: balance.ListFailed, Busy: true})
 		})
 		return
 	}
-	w.idleAt = begin + cost
-	w.busy, w.useful = w.busy+cost, w.useful+cost
-	w.At(w.idleAt, func() {
-		w.out.Answered++
-		if c.listAt < 0 {
-			c.listAt = w.Now()
+	s.idleAt = begin + cost
+	s.busyTime, s.usefulTime = s.busyTime+cost, s.usefulTime+cost
+	s.At(s.idleAt, func() {
+		s.counts.Succeeded++
+		if c.firstListAt < 0 {
+			c.firstListAt = s.Now()
 		}
-		w.handleEvent(c, balance.ServerList{Kind: balance.ListFull, Rev: 1, Servers: w.servers})
+		s.handleEvent(c, balance.ServerList{Kind: balance.ListFull, Rev: 1, Servers: s.servers})
 	})
 }
 
-func (w *simulation) result() *Result {
+func (s *simulation) result() *Result {
 	var listTimes []float64
-	for _, c := range w.callers {
-		if c.listAt >= 0 {
-			listTimes = append(listTimes, c.listAt)
+	for _, c := range s.callers {
+		if c.firstListAt >= 0 {
+			listTimes = append(listTimes, c.firstListAt)
 		}
 	}
 	slices.Sort(listTimes)
@@ -144,9 +144,9 @@
 		}
 		return listTimes[int(q*float64(len(listTimes)-1))]
 	}
-	r := w.out
-	r.HaveList, r.P50, r.P99, r.Last = len(listTimes), quantile(0.5), quantile(0.99), quantile(1)
-	duration := math.Max(w.spec.Length, w.idleAt)
-	r.Busy, r.Useful = w.busy/duration, w.useful/duration
+	r := s.counts
+	r.HaveList, r.P50, r.P99, r.Max = len(listTimes), quantile(0.5), quantile(0.99), quantile(1)
+	duration := math.Max(s.spec.Length, s.idleAt)
+	r.Busy, r.Useful = s.busyTime/duration, s.usefulTime/duration
 	return &r
 }
--- a/internal/lab/crowd/crowd_test.go
+++ b/internal/lab/crowd/crowd_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 func TestRun(t *testing.T) {
-	spec := Spec{Callers: 300, Servers: 60, Capacity: 4000, CallTimeout: 2000, Spread: 100, Length: 60000, PollInterval: 10000, Seed: 1}
+	spec := Spec{Callers: 300, Servers: 60, Capacity: 4000, CallTimeout: 2000, StartSpread: 100, Length: 60000, PollInterval: 10000, Seed: 1}
 	r, err := Run(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.HaveList != 300 || r.Answered != 300 || r.Failed == 0 || r.Calls != r.Answered+r.Failed || r.Busy != r.Useful {
+	if r.HaveList != 300 || r.Succeeded != 300 || r.Failed == 0 || r.Calls != r.Succeeded+r.Failed || r.Busy != r.Useful {
 		t.Errorf("with room for all: %+v", r)
 	}
 	again, err := Run(spec)
@@ -16,11 +16,11 @@
 		t.Errorf("the same seed gives another run: %+v, %+v, %v", r, again, err)
 	}
 	spec.WastesFailedCalls = true
-	w, err := Run(spec)
-	if err != nil || w.P50 <= r.P50 || w.Useful >= w.Busy {
-		t.Errorf("calls that failed cost the service, and nothing is slower: %+v, %v", w, err)
+	wasteful, err := Run(spec)
+	if err != nil || wasteful.P50 <= r.P50 || wasteful.Useful >= wasteful.Busy {
+		t.Errorf("calls that failed cost the service, and nothing is slower: %+v, %v", wasteful, err)
 	}
-	spec.WastesFailedCalls, spec.Callers, spec.Spread = false, 20, 10000
+	spec.WastesFailedCalls, spec.Callers, spec.StartSpread = false, 20, 10000
 	if r, err := Run(spec); err != nil || r.Failed != 0 || r.HaveList != 20 {
 		t.Errorf("a few who come one by one: %+v, %v", r, err)
 	}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -56,7 +56,7 @@
 
 func newRun(base *harness.Run) *run {
 	r := &run{Run: base, links: map[[2]int]*relay.Link{}, requests: client.NewRequestLog()}
-	r.load = &client.Load{Plan: r.Plan, Log: r.Events, Requests: r.requests, Addr: r.clientAddr, Closed: r.closedToNew}
+	r.load = &client.Load{Plan: r.Plan, Log: r.Events, Requests: r.requests, Addr: r.clientAddr, DialsBlocked: r.closedToNew}
 	if r.program = r.Scenario.Sidecars.Program; r.program == "" {
 		r.program = r.Options.Program
 	}
@@ -125,7 +125,7 @@
 	}
 	rep.Lateness = report.NewLateness(r.lateness, timers.Lag)
 	if r.registry != nil {
-		r.registry.cluster.AddTo(rep.Verdict)
+		r.registry.cluster.AddBreachesTo(rep.Verdict)
 	}
 	rep.CheckExpectations(r.Scenario)
 	return rep
