--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	// lateResponseGrace is how long after its timeout a client still reads. An answer by then is late; without one, the record
-	// has a NoAnswer event.
+	// lateResponseGrace is how long after the timeout of its attempt a client still reads. A response within it is
+	// recorded as late. If there is none, a NoAnswer event is recorded.
 	lateResponseGrace = 500 * time.Millisecond
-	// maxIdle is the longest time that a connection is idle before it is discarded.
+	// maxIdle is how long a connection may be idle before it is discarded.
 	maxIdle     = 30 * time.Second
 	dialTimeout = time.Second
 )
 
-// RequestLog stores the sent requests by id, for the simulated servers to find.
+// RequestLog holds the sent requests by ID, for the simulated servers to look up.
 type RequestLog struct {
 	shards [16]struct {
 		mu       sync.RWMutex
@@ -42,7 +42,7 @@
 	}
 }
 
-// NewRequestLog makes an empty store.
+// NewRequestLog returns an empty log.
 func NewRequestLog() *RequestLog {
 	l := &RequestLog{}
 	for i := range l.shards {
@@ -51,7 +51,7 @@
 	return l
 }
 
-// Find finds a request that this log has recorded as sent, by its ID.
+// Find returns the request with an ID, and whether the log has it.
 func (l *RequestLog) Find(id uint64) (stock.ClientRequest, bool) {
 	shard := &l.shards[id%16]
 	shard.mu.RLock()
@@ -60,7 +60,7 @@
 	return request, ok
 }
 
-// Add stores a request under its id.
+// Add stores a request under its ID.
 func (l *RequestLog) Add(id uint64, request stock.ClientRequest) {
 	shard := &l.shards[id%16]
 	shard.mu.Lock()
@@ -73,10 +73,10 @@
 	Plan     *scenario.Plan
 	Log      *record.Log
 	Requests *RequestLog
-	// Addr is where the clients of a sidecar connect at this moment.
+	// Addr returns the address where the clients of a sidecar connect at this moment.
 	Addr func(sidecar int) string
-	// DialsBlocked tells whether a sidecar's clients may open no connection at this moment; nil: they always may. They then
-	// use their open connections round-robin, so that each one is exercised.
+	// DialsBlocked reports whether a sidecar's clients must not open connections at this moment. While it does, they
+	// use their open connections round-robin, so that each is exercised. If nil, clients may always open connections.
 	DialsBlocked func(sidecar int) bool
 
 	pools    []pool
@@ -85,11 +85,11 @@
 	wg       sync.WaitGroup
 }
 
-// InFlight is the number of requests in flight, including their retries.
+// InFlight returns the number of requests in flight. A request and its retries count once.
 func (l *Load) InFlight() int { return int(l.inFlight.Load()) }
 
-// Run sends each arrival at its time and waits until all have ended. It returns the scheduling delay of each arrival:
-// how much later than planned this process started it.
+// Run sends each arrival's request at its time and waits until all have ended. It returns the scheduling delay of each
+// arrival: how much later than planned this process started it.
 func (l *Load) Run(ctx context.Context) []time.Duration {
 	l.pools = make([]pool, len(l.Plan.Sidecars))
 	delays := make([]time.Duration, 0, len(l.Plan.Arrivals))
@@ -123,9 +123,9 @@
 
 // attemptResult is the outcome of an attempt, as its client sees it.
 type attemptResult struct {
-	status     int // 0: no answer
+	status     int // 0: no response
 	retryAfter time.Duration
-	notSent    bool
+	notSent    bool // no connection could be opened or the request could not be written
 }
 
 // sendRequest sends one request and its retries.
@@ -136,7 +136,7 @@
 	deadline := a.At + s.Scaled(class.Deadline)
 	honorsRetryAfter := rng.Float64() < s.Traffic.ObeysRetryAfter
 	for attemptNumber := 1; attemptNumber <= 1+s.Traffic.Retries; attemptNumber++ {
-		noise := 0.9 + 0.2*rng.Float64() // factor on the attempt's part of the deadline, drawn for each attempt
+		noise := 0.9 + 0.2*rng.Float64() // factor of the attempt's timeout, random for each attempt
 		timeout := min(time.Duration(float64(s.Scaled(class.Deadline))*min(s.Traffic.AttemptTimeoutFraction*noise, 1)), deadline-l.Log.Now())
 		if s.Traffic.Retries == 0 {
 			timeout = deadline - l.Log.Now()
@@ -164,7 +164,7 @@
 	}
 }
 
-// attempt is one attempt of a request. Each has its own id.
+// attempt is one attempt of a request. Each has its own ID.
 type attempt struct {
 	load                        *Load
 	arrival                     *scenario.Arrival
@@ -174,16 +174,18 @@
 	leaveRequested              atomic.Bool // set by LeaveEarly
 }
 
-// timeoutMS is the value of X-Timeout-Ms, in milliseconds.
+// timeoutMS returns the value of X-Timeout-Ms, in milliseconds.
 func (t *attempt) timeoutMS() int64 { return max(t.timeout.Milliseconds(), 1) }
 
+// recordEvent adds an event of the attempt to the log.
 func (t *attempt) recordEvent(k record.Kind, e record.Event) {
 	e.Kind, e.Request, e.Sidecar = k, t.id, int32(t.arrival.Sidecar)
 	e.Server, e.Class, e.N = record.None, int16(t.arrival.Class), max(e.N, int64(t.arrivalIndex))
 	t.load.Log.Add(e)
 }
 
-// run sends the attempt and waits for its end.
+// run sends the attempt and waits for its end. If a reused connection turns out to be closed, it sends the attempt
+// again.
 func (t *attempt) run(ctx context.Context) attemptResult {
 	s := t.load.Plan.Scenario
 	class := &s.Classes[t.arrival.Class]
@@ -197,7 +199,7 @@
 	head := fmt.Appendf(nil, "%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Tenant-Id: %s\r\nX-Timeout-Ms: %d\r\n",
 		method, t.id, class.Name, s.Tenants[t.arrival.Tenant].Name, t.timeoutMS())
 	if s.HasRoutes() && !t.arrival.Keyless {
-		head = fmt.Appendf(head, "X-Route-Key: %016x\r\n", t.arrival.Seed) // the same for each attempt
+		head = fmt.Appendf(head, "X-Route-Key: %016x\r\n", t.arrival.Seed) // the same for all attempts of a request
 	}
 	if body != nil {
 		head = fmt.Appendf(head, "Content-Length: %d\r\n", len(body))
@@ -215,7 +217,7 @@
 		reused := c != nil
 		if c == nil {
 			if dialsBlocked() {
-				t.recordEvent(record.NotSent, record.Event{Note: "no connection is open, and no new one may be opened"})
+				t.recordEvent(record.NotSent, record.Event{Note: "no open connection, and new connections are blocked"})
 				return attemptResult{notSent: true}
 			}
 			var err error
@@ -228,12 +230,13 @@
 		if !resend || !reused {
 			return result
 		}
-		// A reused connection was closed while the request was sent: send it again on a new one.
+		// The reused connection was closed while the request was sent: send the request again on a new one.
 		c = nil
 	}
 }
 
-// exchange sends the attempt on one connection. resend is set if it was closed without a byte of an answer.
+// exchange sends the attempt on one connection and reads the response. resend is set if the connection was closed
+// before the first byte of the response.
 func (t *attempt) exchange(ctx context.Context, c *conn, p *pool, message []byte, sum uint64, method string,
 	behaviour clientBehaviour) (result attemptResult, resend bool) {
 	started := time.Now()
@@ -245,7 +248,7 @@
 	}
 	t.recordEvent(record.Sent, record.Event{Attempt: int16(t.attemptNumber), Sum: sum, Work: float64(t.timeoutMS())})
 	if behaviour.pipelined == pipelinedLater {
-		// A write error means that the connection is closed, which the read below reports.
+		// A write error means that the connection is closed, which the read below detects.
 		defer time.AfterFunc(pipelineDelay, func() { _, _ = io.WriteString(c, partialNextRequest) }).Stop()
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
@@ -264,14 +267,14 @@
 			return attemptResult{}, false
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			c.Close()
-			t.recordEvent(record.ConnectionLost, record.Event{Note: "no byte of an answer: " + err.Error()})
+			t.recordEvent(record.ConnectionLost, record.Event{Note: "before the response: " + err.Error()})
 			return attemptResult{}, true
 		case t.leaveAfter > 0 || t.leaveRequested.Load():
 			t.leave(c, behaviour.leaveMode)
 			return attemptResult{}, false
 		}
 		t.recordEvent(record.Overdue, record.Event{})
-		// The sidecar still has to answer the accepted request; the client's retry does not wait for that.
+		// The sidecar must still respond to the accepted request. The client's retry does not wait for the response.
 		t.load.wg.Go(func() {
 			defer c.Close()
 			_ = c.SetDeadline(started.Add(t.timeout + lateResponseGrace))
@@ -293,7 +296,7 @@
 	return result, false
 }
 
-// readResponse reads the answer whose first byte has arrived.
+// readResponse reads the response whose first byte has arrived. keep is set if the connection can be reused.
 func (t *attempt) readResponse(c *conn, method string) (result attemptResult, keep bool) {
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	var body []byte
@@ -302,7 +305,7 @@
 		resp.Body.Close()
 	}
 	if err != nil {
-		t.recordEvent(record.ConnectionLost, record.Event{Note: "in its answer: " + err.Error()})
+		t.recordEvent(record.ConnectionLost, record.Event{Note: "within the response: " + err.Error()})
 		return attemptResult{}, false
 	}
 	e := record.Event{Status: int32(resp.StatusCode), Sum: record.Sum(body)}
@@ -328,9 +331,10 @@
 	reader      *bufio.Reader
 	addr        string
 	idleSince   time.Time
-	lastAttempt *attempt // the attempt whose answer it carried last
+	lastAttempt *attempt // the attempt that received the last response
 }
 
+// dial opens a connection to a sidecar within wait.
 func dial(ctx context.Context, addr string, wait time.Duration) (*conn, error) {
 	d := net.Dialer{Timeout: wait, KeepAlive: -1}
 	c, err := d.DialContext(ctx, "tcp4", addr)
@@ -346,8 +350,8 @@
 	idle []*conn
 }
 
-// take removes and returns an open connection to an address: the most recently used, or the least recently used if
-// oldest is set; nil: there is none.
+// take removes and returns an open connection to an address, or nil if there is none. It returns the most recently used
+// connection, or the least recently used if oldest is set.
 func (p *pool) take(addr string, oldest bool) *conn {
 	for {
 		p.mu.Lock()
@@ -370,6 +374,7 @@
 	}
 }
 
+// put adds an idle connection.
 func (p *pool) put(c *conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
@@ -377,6 +382,7 @@
 	p.mu.Unlock()
 }
 
+// close closes all idle connections and records unread bytes on them.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -387,8 +393,8 @@
 	p.idle = nil
 }
 
-// usable tells whether an idle connection is open and has no unread bytes. Unread bytes belong to no request and are
-// recorded.
+// usable reports whether an idle connection is open and has no unread bytes. Unread bytes belong to no request and are
+// recorded as an ExtraBytes event.
 func (c *conn) usable() bool {
 	if c.reader.Buffered() > 0 {
 		c.lastAttempt.recordEvent(record.ExtraBytes, record.Event{})
@@ -398,12 +404,12 @@
 	if err != nil {
 		return false
 	}
-	n, failed := 0, error(nil)
+	n, recvErr := 0, error(nil)
 	err = raw.Control(func(fd uintptr) {
-		n, _, failed = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		n, _, recvErr = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	if n > 0 {
 		c.lastAttempt.recordEvent(record.ExtraBytes, record.Event{})
 	}
-	return err == nil && errors.Is(failed, unix.EAGAIN)
+	return err == nil && errors.Is(recvErr, unix.EAGAIN)
 }
--- a/internal/lab/client/leave.go
+++ b/internal/lab/client/leave.go
@@ -15,7 +15,8 @@
 // partialNextRequest is the start of a pipelined request that is never completed.
 const partialNextRequest = "GET /api HTTP/1.1\r\nHost: back"
 
-// When it is sent: never, with the request, or pipelineDelay later, when the request has been read.
+// When partialNextRequest is sent: never, together with the request, or pipelineDelay after it, when the sidecar has
+// read the request.
 const (
 	notPipelined = iota
 	pipelinedWithRequest
@@ -23,13 +24,14 @@
 	pipelineDelay = 5 * time.Millisecond
 )
 
-// clientBehaviour is how an attempt's client deviates from a plain exchange. It is drawn from the attempt's id, so that it
-// does not change other random draws.
+// clientBehaviour is how an attempt's client deviates from a plain exchange. Its random source is seeded by the
+// attempt's ID, so that it does not change other random draws.
 type clientBehaviour struct {
-	leaveMode string // how it ends the connection if it leaves early: one of scenario.LeaveModes
-	pipelined int    // when it sends partialNextRequest
+	leaveMode string // how the client ends the connection if it leaves early: one of the scenario's LeaveModes
+	pipelined int    // when the client sends partialNextRequest
 }
 
+// drawBehaviour returns the behaviour of the attempt's client, which depends on the attempt's ID alone.
 func (t *attempt) drawBehaviour() clientBehaviour {
 	traffic := &t.load.Plan.Scenario.Traffic
 	rng := rand.New(rand.NewPCG(t.id, 0x6c65617665))
@@ -41,7 +43,7 @@
 	return behaviour
 }
 
-// leave ends the attempt's connection before its answer has arrived.
+// leave ends the attempt's connection before its response has arrived.
 func (t *attempt) leave(c *conn, mode string) {
 	switch mode {
 	case scenario.LeaveHalfClose:
@@ -51,7 +53,7 @@
 		t.load.wg.Go(func() { t.drain(c) })
 	case scenario.LeaveReset:
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // as above
+			_ = tcp.SetLinger(0) // fails only if the connection has ended
 		}
 		c.Close()
 	default:
@@ -60,15 +62,15 @@
 	t.recordEvent(record.ClientLeft, record.Event{Note: mode})
 }
 
-// drain reads and discards what still arrives on a half-closed connection, up to the attempt's timeout and the grace
-// period.
+// drain reads and discards what arrives on a half-closed connection, for at most the attempt's timeout plus
+// lateResponseGrace.
 func (t *attempt) drain(c *conn) {
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(t.timeout + lateResponseGrace)) // on a closed connection the read below fails
-	_, _ = io.Copy(io.Discard, c.reader)                             // the client has left: the bytes are discarded
+	_, _ = io.Copy(io.Discard, c.reader)                             // the client has left: nothing is recorded
 }
 
-// awaitingResponse has the attempts whose clients wait for an answer.
+// awaitingResponse holds the attempts whose clients wait for a response, with their connections.
 type awaitingResponse struct {
 	mu       sync.Mutex
 	attempts map[*attempt]*conn
@@ -89,7 +91,8 @@
 	delete(w.attempts, t)
 }
 
-// LeaveEarly makes the clients of a fraction of the attempts that wait for an answer of these sidecars leave immediately.
+// LeaveEarly makes the clients of a random fraction of the attempts that wait for a response of these sidecars leave
+// immediately.
 func (l *Load) LeaveEarly(sidecars []int, fraction float64) {
 	l.awaiting.mu.Lock()
 	defer l.awaiting.mu.Unlock()
@@ -98,6 +101,6 @@
 			continue
 		}
 		t.leaveRequested.Store(true)
-		_ = c.SetDeadline(time.Unix(1, 0)) // ends the client's read
+		_ = c.SetDeadline(time.Unix(1, 0)) // interrupts the client's read
 	}
 }
--- a/internal/lab/cluster/clients.go
+++ b/internal/lab/cluster/clients.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file is the writers, readers and watchers of the registry.
+// This file holds the writers, readers and watchers that call the registry.
 
 import (
 	"bufio"
@@ -24,11 +24,12 @@
 	"marblelane/internal/registry/state"
 )
 
-// writer writes and reads single entries through replicas drawn at random, as fast as its pause lets it.
+// writer writes, removes and reads single entries through random replicas until ctx ends, with the configured pause
+// between calls.
 func (c *Cluster) writer(ctx context.Context, number int) {
 	rng := rand.New(rand.NewPCG(c.Plan.Seed, uint64(number)+1))
-	lastRevs := map[string]int64{} // the last revision of each entry that it has seen
-	firstReads := map[string]operation{}
+	lastRevs := map[string]int64{}       // by entry: its revision after the last successful call; 0: it does not exist
+	firstReads := map[string]operation{} // by entry: its first successful read, which the planted defect returns again
 	for ctx.Err() == nil {
 		key := fmt.Sprint("s-", rng.IntN(c.config.Entries))
 		op := operation{key: key, client: number, kind: opWrite, condition: -1}
@@ -73,7 +74,7 @@
 	}
 }
 
-// execute makes one call and reads its outcome. A call that is under way when the run ends is finished.
+// execute makes one call and records its outcome in op. A call in progress when the run ends is completed.
 func (c *Cluster) execute(op *operation, replica *Replica) {
 	url := "http://" + replica.Address + "/registry/instances/" + op.key
 	method, body := http.MethodGet, []byte(nil)
@@ -98,7 +99,7 @@
 	if err != nil {
 		op.outcome = outcomeUnknown
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			op.outcome = outcomeNotApplied // a replica that redirects has done nothing, and no other was reached
+			op.outcome = outcomeNotApplied // no replica was reached; one that redirected the call has not applied it
 		}
 		return
 	}
@@ -116,10 +117,10 @@
 		op.outcome, op.returnedRev = outcomeOK, max(response.Rev, response.Changed)
 		op.returnedValue = response.BootMS
 	case resp.StatusCode == http.StatusNotFound && op.kind == opRead:
-		op.outcome = outcomeOK // there is none
+		op.outcome = outcomeOK // the entry does not exist
 	case resp.StatusCode == http.StatusConflict:
 		op.outcome = outcomeConflict
-	case bytes.Contains(text, []byte("is not known")): // whether it has happened
+	case bytes.Contains(text, []byte("is not known")): // the replica does not know whether it has applied the write
 		op.outcome = outcomeUnknown
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		op.outcome = outcomeNotApplied
@@ -128,7 +129,7 @@
 	}
 }
 
-// reader asks for whole lists, of the next copy where one does not answer.
+// reader reads whole lists until ctx ends. Where a replica does not respond, it calls the next one.
 func (c *Cluster) reader(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(c.Plan.Seed, 1<<40))
 	for ctx.Err() == nil {
@@ -139,9 +140,9 @@
 			if succeeded = err == nil && code == http.StatusOK; !succeeded {
 				continue
 			}
-			read.rev, _ = strconv.ParseInt(header.Get("X-Registry-Rev"), 10, 64) // 0 where there is no list yet
+			read.rev, _ = strconv.ParseInt(header.Get("X-Registry-Rev"), 10, 64) // 0 if the replica has no list yet
 			if ms, err := strconv.Atoi(header.Get("X-Registry-Heard-Ms")); err != nil {
-				c.recordBreach("age-told", fmt.Sprintf("copy %s gives a list without its age", read.replica))
+				c.recordBreach("age-told", fmt.Sprintf("replica %s: list response without its age", read.replica))
 			} else if read.age = time.Duration(ms) * time.Millisecond; c.reportsZeroAge.Load() {
 				read.age = 0
 			}
@@ -162,20 +163,21 @@
 	}
 }
 
-// watcher keeps a watch on some replica, and the list that it was sent.
+// watcher keeps a watch on a random replica and applies the received lines to its list.
 type watcher struct {
 	cluster   *Cluster
 	rng       *rand.Rand
 	mu        sync.Mutex
 	list      map[string]state.Entry
 	rev       int64
-	firstSeen []ackedWrite // when it first had a revision
+	firstSeen []ackedWrite // each received revision and when it arrived (in acknowledged)
 }
 
-// watchSilenceTimeout is how long a watch may say nothing before its watcher goes elsewhere: an empty line comes every 2 s.
+// watchSilenceTimeout is how long a watch may be silent before its watcher calls a random replica again. Replicas send
+// an empty line every 2 s.
 const watchSilenceTimeout = 5 * time.Second
 
-// follow keeps a watch on some replica until ctx ends.
+// follow opens watches, one after the other, on random replicas until ctx ends.
 func (w *watcher) follow(ctx context.Context) {
 	for first := true; ctx.Err() == nil; first = false {
 		if !first {
@@ -190,6 +192,7 @@
 	}
 }
 
+// watch runs one watch on a replica until it ends or is silent for watchSilenceTimeout.
 func (w *watcher) watch(ctx context.Context, replica *Replica) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -221,7 +224,7 @@
 		}
 		var list state.List
 		if err := json.Unmarshal(line, &list); err != nil {
-			w.cluster.recordBreach("watchers-agree", fmt.Sprintf("a line that cannot be read: %v", err))
+			w.cluster.recordBreach("watchers-agree", fmt.Sprintf("decode watch line: %v", err))
 			return
 		}
 		w.cluster.watchLines.Add(1)
@@ -229,15 +232,15 @@
 	}
 }
 
-// applyLine applies a line and compares the list with what others had at this revision.
+// applyLine applies a line and compares the list with the lists of the other watchers at the same revision.
 func (w *watcher) applyLine(line *state.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !line.All && line.Rev <= w.rev {
-		w.cluster.recordBreach("watchers-agree", fmt.Sprintf("after revision %d a change of revision %d was told", w.rev, line.Rev))
+		w.cluster.recordBreach("watchers-agree", fmt.Sprintf("a change of revision %[2]d was received after revision %[1]d", w.rev, line.Rev))
 	}
 	if !line.All && w.cluster.dropsWatchLines.Load() && w.rng.Float64() < 0.05 {
-		w.rev = line.Rev // planted: the line is lost, and its revision is not
+		w.rev = line.Rev // planted defect: the line is dropped but its revision is recorded
 		return
 	}
 	if line.All {
@@ -255,6 +258,7 @@
 	w.cluster.checkListHash(line.Rev, listHash(w.list))
 }
 
+// listHash returns a hash of the list that does not depend on the order of its entries.
 func listHash(list map[string]state.Entry) uint64 {
 	entries := make([]state.Entry, 0, len(list))
 	for _, e := range list {
@@ -264,7 +268,7 @@
 	return record.Sum(fmt.Append(nil, entries))
 }
 
-// checkListHash compares a list to what others had at the same revision.
+// checkListHash compares a list with the first one that a watcher had at the same revision.
 func (c *Cluster) checkListHash(rev int64, hash uint64) {
 	c.mu.Lock()
 	recorded, ok := c.listHashes[rev]
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster runs real replicas of the registry as processes, with proxies between them. Other runs use one as their
-// discovery; Play runs the registry alone: writers go on through all faults, watchers come back wherever they can, and
-// afterwards the history of the writers has to be linearizable and all watchers have to hold the leader's list.
+// Package cluster runs real replicas of the registry as processes, with proxies between them. Other runs use a cluster
+// as their discovery. NewRun runs the registry alone: writers continue through all faults and watchers reconnect to any
+// replica. At the end, the history of the writers must be linearizable and all watchers must hold the leader's list.
 package cluster
 
 import (
@@ -26,15 +26,15 @@
 	"marblelane/internal/registry/listserver"
 )
 
-// Cluster is a registry whose replicas reach each other through proxies, so that faults can be put between them. It also
-// keeps what a run of the registry alone records: the history of the writers, the lists that were read, and the breaches.
+// Cluster is a registry whose replicas reach each other through proxies, so that the links between them can be cut. It
+// also keeps the records of a run of the registry alone: the history of the writers, the lists read, and the breaches.
 type Cluster struct {
 	*harness.Run
 	Replicas []*Replica
 	config   *scenario.Registry
-	links    [][]*relay.Link // by calling and called replica
+	links    [][]*relay.Link // by number of the calling and of the called replica
 
-	// The planted defects.
+	// The planted defects that are turned on.
 	dropsWatchLines  atomic.Bool
 	reportsZeroAge   atomic.Bool
 	servesStaleReads atomic.Bool
@@ -44,28 +44,28 @@
 	acknowledged   []ackedWrite
 	faultStarts    []time.Duration
 	reads          []listRead
-	failedReads    int // that no replica answered
+	failedReads    int // reads that no replica responded to
 	restartDelays  []time.Duration
 	diskRecoveries []time.Duration
-	diskChecks     int              // disks that failed under a replica
-	listHashes     map[int64]uint64 // by revision, as the first watcher had the list
+	diskChecks     int              // cases that disk-honest was checked on: replicas whose disk failed
+	listHashes     map[int64]uint64 // by revision: the hash of the first watcher's list
 	breaches       []invariant.Breach
-	breachCounts   map[string]int // by rule
+	breachCounts   map[string]int // by invariant
 
 	watchLines atomic.Int64
 	rewatches  atomic.Int64
-	lastValue  atomic.Int64 // that a writer has written
+	lastValue  atomic.Int64 // the newest value written, so that no two writes have the same
 }
 
-// listRead is a whole list that a replica gave.
+// listRead is a read of a whole list that a replica responded to.
 type listRead struct {
 	replica string
-	called  time.Duration
-	age     time.Duration // as the replica stated it
+	called  time.Duration // since the start of the event log
+	age     time.Duration // as the replica reported it
 	rev     int64
 }
 
-// ackedWrite is a write that was acknowledged, or a revision that a watcher was sent.
+// ackedWrite is an acknowledged write, or a revision that a watcher received. A watcher's has no call time.
 type ackedWrite struct {
 	rev                  int64
 	called, acknowledged time.Duration
@@ -75,40 +75,41 @@
 type Replica struct {
 	Number      int
 	Name        string
-	Address     string       // where clients call it
-	raftAddress string       // where it listens for other replicas
-	raftProxy   *relay.Port  // where other replicas call it
-	Spec        process.Spec // of its process
+	Address     string       // where clients connect
+	raftAddress string       // where it listens for the raft traffic of other replicas
+	raftProxy   *relay.Port  // where other replicas connect; it forwards to raftAddress
+	Spec        process.Spec // how its process is started
 
 	mu      sync.Mutex
 	child   *process.Child
-	pastCPU float64 // seconds of processes that were killed
+	pastCPU float64 // CPU seconds of its killed processes
 }
 
-// URL is the address of a path of the replica's HTTP interface.
+// URL returns the URL of a path of the replica's HTTP interface.
 func (replica *Replica) URL(path string) string { return "http://" + replica.Address + path }
 
-// faultsFile is the file of the faults that are injected into the process.
+// faultsFile returns the path of the file with the faults to inject into the process.
 func (replica *Replica) faultsFile() string { return filepath.Join(replica.Spec.Dir, "faults.toml") }
 
-// configFile is the configuration of the process.
+// configFile returns the path of the process's configuration.
 func (replica *Replica) configFile() string { return filepath.Join(replica.Spec.Dir, "registry.toml") }
 
+// dataDir returns the folder of the replica's stored data.
 func (replica *Replica) dataDir() string { return filepath.Join(replica.Spec.Dir, "data") }
 
-// Process is the newest process; nil: none has been started.
+// Process returns the newest process, or nil if none has been started.
 func (replica *Replica) Process() *process.Child {
 	replica.mu.Lock()
 	defer replica.mu.Unlock()
 	return replica.child
 }
 
-// New is a registry whose replicas have not been started.
+// New returns a cluster whose replicas have not been started.
 func New(r *harness.Run, config *scenario.Registry) *Cluster {
 	return &Cluster{Run: r, config: config, listHashes: map[int64]uint64{}, breachCounts: map[string]int{}}
 }
 
-// Start starts all replicas, and returns when one of them leads. Stop has to be called after it, also after an error.
+// Start starts all replicas and returns when one of them leads. The caller must call Stop, also after an error.
 func (c *Cluster) Start(ctx context.Context) error {
 	for i := range c.config.Replicas {
 		if err := c.addReplica(i); err != nil {
@@ -138,7 +139,8 @@
 	return c.AwaitLeader(ctx)
 }
 
-// addReplica reserves the addresses of a replica until the run ends, so that others don't take them while it is down.
+// addReplica adds a replica and reserves its addresses until the run ends, so that no other process binds them while
+// the replica is down.
 func (c *Cluster) addReplica(number int) error {
 	n := c.config.Replicas
 	var links []*relay.Link
@@ -157,7 +159,7 @@
 	return nil
 }
 
-// openRaftProxy listens for the calls of other replicas, and passes them on by the link between both.
+// openRaftProxy listens for the connections of other replicas and forwards each through the link between the two.
 func (c *Cluster) openRaftProxy(replica *Replica) (err error) {
 	replica.raftProxy, err = relay.ForwardBySource(func(caller int) *relay.Link {
 		if caller >= len(c.links) {
@@ -168,7 +170,7 @@
 	return err
 }
 
-// writeConfig writes the configuration of a replica that is in the cluster from the beginning.
+// writeConfig writes the configuration of an initial member of the cluster.
 func (c *Cluster) writeConfig(replica *Replica) error {
 	dir := filepath.Join(c.Dir, replica.Name)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -186,7 +188,7 @@
 	return os.WriteFile(replica.configFile(), []byte(text), 0o644)
 }
 
-// AppendConfig adds text to the configuration of a replica; its next process reads it.
+// AppendConfig appends text to the configuration of a replica. The next process of the replica reads it.
 func (replica *Replica) AppendConfig(text []byte) error {
 	file, err := os.OpenFile(replica.configFile(), os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
@@ -196,7 +198,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// Launch starts a process of a replica, and waits until it serves.
+// Launch starts a process of a replica and waits until it logs that it is ready.
 func (c *Cluster) Launch(ctx context.Context, replica *Replica) error {
 	child, err := c.Processes.Start(replica.Spec)
 	if err != nil {
@@ -209,7 +211,7 @@
 	return err
 }
 
-// Stop ends the replicas and the proxies between them.
+// Stop kills the replicas and closes the proxies between them.
 func (c *Cluster) Stop() {
 	for _, replica := range c.Replicas {
 		if p := replica.Process(); p != nil {
@@ -223,13 +225,13 @@
 	}
 }
 
-// Call makes a call that a replica answers at once or not at all.
+// Call sends a request to a replica, with a timeout of 1 s, and returns the status code and body of the response.
 func Call(ctx context.Context, method, url string, body []byte) (int, []byte, error) {
 	code, _, text, err := CallWithHeader(ctx, method, url, body)
 	return code, text, err
 }
 
-// CallWithHeader is Call, and also gives the header of the answer.
+// CallWithHeader is like Call and also returns the header of the response.
 func CallWithHeader(ctx context.Context, method, url string, body []byte) (int, http.Header, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -247,7 +249,7 @@
 	return resp.StatusCode, resp.Header, text, err
 }
 
-// Leader finds the replica that leads and has begun a history; nil: there is none.
+// Leader returns the replica that reports to be the leader and to have a list (a revision above 0), or nil.
 func (c *Cluster) Leader(ctx context.Context) *Replica {
 	var leader *Replica
 	for _, replica := range c.Replicas {
@@ -260,19 +262,20 @@
 	return leader
 }
 
-// AwaitLeader waits until a replica leads.
+// AwaitLeader waits until a replica leads or ctx ends.
 func (c *Cluster) AwaitLeader(ctx context.Context) error {
 	for c.Leader(ctx) == nil {
 		if ctx.Err() != nil {
-			return errors.New("the list service has no leader")
+			return errors.New("await leader: no replica of the list service leads")
 		}
 	}
 	return nil
 }
 
-// maxBreachTexts is how many breaches of each rule are kept with their text. All are counted.
+// maxBreachTexts is the number of breaches of each invariant that are kept with their text. All are counted.
 const maxBreachTexts = 3
 
+// recordBreach counts a breach of an invariant.
 func (c *Cluster) recordBreach(rule, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file plays faults in the replicas of the registry, and judges how they come back.
+// This file injects faults into the replicas of the registry and checks their recovery.
 
 import (
 	"bytes"
@@ -25,7 +25,7 @@
 	"marblelane/internal/registry/listserver"
 )
 
-// injectFaults carries out the scenario's faults, each in its own time, and undoes them at the end of the run.
+// injectFaults starts the scenario's faults at their planned times and ends each after its duration, or when ctx ends.
 func (c *Cluster) injectFaults(ctx context.Context) {
 	for i := range c.Plan.Faults {
 		f := &c.Plan.Faults[i]
@@ -44,16 +44,16 @@
 			c.Log.Info("lab: fault", "what", f.Fault.Kind, "copies", f.Fault.Replicas)
 			harness.Sleep(ctx, f.Until-f.At)
 			if err := undo(); err != nil {
-				c.Fail(fmt.Errorf("%s ends: %w", f.Fault.Kind, err))
+				c.Fail(fmt.Errorf("end %s: %w", f.Fault.Kind, err))
 			}
 		})
 	}
 }
 
-// injector starts a fault in the chosen replicas, and gives the function that ends it.
+// injector starts a fault in the chosen replicas and returns the function that ends it.
 type injector func(c *Cluster, ctx context.Context, f *scenario.FaultPlan, chosen []*Replica) (undo func() error, err error)
 
-// injectors are the faults of replicas and the planted defects of the registry, by kind.
+// injectors holds the faults of replicas and the planted defects of the registry, by kind.
 var injectors = map[string]injector{
 	"copy-kill":           (*Cluster).killReplicas,
 	"copy-freeze":         (*Cluster).freezeReplicas,
@@ -70,11 +70,11 @@
 	"defect-skipped-line": plantDefect(func(c *Cluster) *atomic.Bool { return &c.dropsWatchLines }),
 }
 
-// InjectFault starts a fault, and gives the function that ends it.
+// InjectFault starts a fault and returns the function that ends it.
 func (c *Cluster) InjectFault(ctx context.Context, f *scenario.FaultPlan) (undo func() error, err error) {
 	inject := injectors[f.Fault.Kind]
 	if inject == nil {
-		return nil, errors.New("no such fault of the list service")
+		return nil, errors.New("unknown kind of fault for the list service")
 	}
 	var chosen []*Replica
 	if f.Fault.Replicas != "" {
@@ -83,7 +83,7 @@
 	return inject(c, ctx, f, chosen)
 }
 
-// plantDefect is a planted plantDefect that a flag turns on.
+// plantDefect returns the injector of a planted defect that a flag of the cluster turns on.
 func plantDefect(flag func(*Cluster) *atomic.Bool) injector {
 	return func(c *Cluster, _ context.Context, _ *scenario.FaultPlan, _ []*Replica) (func() error, error) {
 		flag(c).Store(true)
@@ -91,6 +91,7 @@
 	}
 }
 
+// killReplicas kills processes of replicas. Its undo restarts them.
 func (c *Cluster) killReplicas(ctx context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
 	for _, replica := range chosen {
 		child := replica.Process()
@@ -102,7 +103,7 @@
 	return func() error { return c.restart(ctx, chosen) }, nil
 }
 
-// restart starts replicas that were killed, and measures how long they take to catch up.
+// restart starts killed replicas and measures how long they take to catch up.
 func (c *Cluster) restart(ctx context.Context, chosen []*Replica) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), harness.StartTimeout)
 	defer cancel()
@@ -114,6 +115,7 @@
 	return c.measureCatchUp(ctx, chosen)
 }
 
+// freezeReplicas stops processes of replicas by SIGSTOP. Its undo continues them.
 func (c *Cluster) freezeReplicas(_ context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
 	signal := func(s syscall.Signal) error {
 		for _, replica := range chosen {
@@ -126,15 +128,16 @@
 	return func() error { return signal(syscall.SIGCONT) }, signal(syscall.SIGSTOP)
 }
 
-// partitionReplicas cuts replicas off from the others.
+// partitionReplicas cuts the links between the chosen replicas and the others.
 func (c *Cluster) partitionReplicas(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
 	heal := func() error { return c.setPartition(chosen, f.Fault.Direction, false) }
 	return heal, c.setPartition(chosen, f.Fault.Direction, true)
 }
 
-// fullDiskBytes is how much room a full disk has left.
+// fullDiskBytes is the free space of a full disk.
 const fullDiskBytes = 4096
 
+// fillDisks fills the disks of replicas. Its undo frees them and checks the replicas.
 func (c *Cluster) fillDisks(ctx context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
 	failures, err := c.failDisks(chosen, func() error {
 		for _, replica := range chosen {
@@ -147,6 +150,7 @@
 	return func() error { return c.healDisks(ctx, failures, func() error { return freeDisks(failures) }) }, err
 }
 
+// loseDisks kills replicas and deletes their data. Its undo adds them again without data.
 func (c *Cluster) loseDisks(ctx context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
 	for _, replica := range chosen {
 		replica.Process().Kill()
@@ -157,19 +161,22 @@
 	return func() error { return c.rejoinEmpty(ctx, chosen) }, nil
 }
 
+// slowDisks delays disk operations of replicas by the fault's size.
 func (c *Cluster) slowDisks(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
 	return c.writeFaults(chosen, fault.NewConfig(0, sizeAsDuration(f), ""))
 }
 
+// stepClocks steps the clocks of replicas by the fault's size.
 func (c *Cluster) stepClocks(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
 	return c.writeFaults(chosen, fault.NewConfig(sizeAsDuration(f), 0, ""))
 }
 
+// sizeAsDuration returns the fault's size, which is in seconds.
 func sizeAsDuration(f *scenario.FaultPlan) time.Duration {
 	return time.Duration(f.Fault.Size * float64(time.Second))
 }
 
-// failSyncs lets the syncs of disks fail.
+// failSyncs returns the injector that makes the syncs of disks fail.
 func failSyncs(kind fault.SyncFault) injector {
 	return func(c *Cluster, ctx context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
 		var heal func() error
@@ -181,7 +188,8 @@
 	}
 }
 
-// measureCatchUp measures how long replicas that have just been started take until they have the list of that moment.
+// measureCatchUp measures how long newly started replicas take to reach the revision that was the newest acknowledged
+// at their start.
 func (c *Cluster) measureCatchUp(ctx context.Context, chosen []*Replica) error {
 	start, wantRev := c.Events.Now(), c.newestAcknowledged()
 	for _, replica := range chosen {
@@ -192,7 +200,7 @@
 				break
 			}
 			if !harness.Sleep(ctx, 5*time.Millisecond) {
-				return fmt.Errorf("copy %s does not catch up", replica.Name)
+				return fmt.Errorf("replica %s did not catch up to the newest acknowledged revision", replica.Name)
 			}
 		}
 		c.mu.Lock()
@@ -202,7 +210,7 @@
 	return nil
 }
 
-// writeFaults injects faults into the processes of replicas.
+// writeFaults writes the faults files of replicas, which injects the faults into their processes.
 func (c *Cluster) writeFaults(chosen []*Replica, config fault.Config) (undo func() error, err error) {
 	writeAll := func(set fault.Config) error {
 		for _, replica := range chosen {
@@ -215,7 +223,7 @@
 	return func() error { return writeAll(fault.Config{}) }, writeAll(config)
 }
 
-// freeDisks empties the disks of replicas.
+// freeDisks frees the disks of replicas that fillDisks has filled.
 func freeDisks(failures []*diskFailure) error {
 	for _, f := range failures {
 		if err := f.child.FreeDisk(); err != nil {
@@ -225,7 +233,7 @@
 	return nil
 }
 
-// appliedRevision is the revision that a replica has applied; 0 where it does not say.
+// appliedRevision returns the revision that a replica has applied, or 0 if the replica does not report it.
 func (c *Cluster) appliedRevision(replica *Replica) int64 {
 	var status listserver.Status
 	code, text, err := Call(context.Background(), "GET", "http://"+replica.Address+"/registry/status", nil)
@@ -235,20 +243,21 @@
 	return status.Rev
 }
 
-// diskRecoveryTimeout is how long a replica may take from when its disk works again until it has the list of that moment.
+// diskRecoveryTimeout is how long a replica may take, from the end of its disk's fault, to reach the revision that was
+// then the newest acknowledged.
 const diskRecoveryTimeout = 10 * time.Second
 
-// diskFailure is a replica whose disk fails.
+// diskFailure is the state of a replica whose disk fails.
 type diskFailure struct {
 	*Replica
-	child             *process.Child // as it ran when the disk began to fail
-	loggedBefore      int            // failures of its disk in its log before
-	revisionAtFailure int64          // its revision once the disk failed
-	revisionAtHeal    int64          // its revision when the disk works again; 0: it did not say
+	child             *process.Child // the replica's process when the fault started
+	loggedBefore      int            // disk failures in its log before the fault started
+	revisionAtFailure int64          // its revision after the fault started
+	revisionAtHeal    int64          // its revision before the fault ended; 0 if the replica did not report it
 }
 
-// failDisks makes the disks of replicas fail, and notes how the replicas are: what their logs have said is from before, as
-// they may notice at once, and their revisions are from after.
+// failDisks makes the disks of replicas fail and records the state of the replicas. It counts the logged disk failures
+// before the fault starts, since a replica may detect it at once, and reads the revisions after.
 func (c *Cluster) failDisks(chosen []*Replica, fail func() error) ([]*diskFailure, error) {
 	var failures []*diskFailure
 	for _, replica := range chosen {
@@ -267,80 +276,82 @@
 func (replica *Replica) loggedDiskFailures() int {
 	text, err := os.ReadFile(replica.Spec.LogPath())
 	if err != nil {
-		return 0 // the replica has said nothing yet
+		return 0 // the replica has logged nothing yet
 	}
 	return bytes.Count(text, []byte("disk write failed"))
 }
 
-// healDisks makes disks work again. Each copy that noticed has to be there by itself within diskHealWait; one that
-// did not must not have written anything.
+// healDisks ends the faults of disks and checks the replicas. A replica that detected the fault must recover by itself
+// within diskRecoveryTimeout. A replica that did not must not have applied any revision during the fault.
 func (c *Cluster) healDisks(ctx context.Context, failures []*diskFailure, heal func() error) error {
 	for _, f := range failures {
 		f.revisionAtHeal = c.appliedRevision(f.Replica)
 	}
-	healed := c.Events.Now()
+	healedAt := c.Events.Now()
 	if err := heal(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), harness.StartTimeout)
 	defer cancel()
 	for _, f := range failures {
-		if err := c.checkDiskFailure(ctx, f, healed); err != nil {
+		if err := c.checkDiskFailure(ctx, f, healedAt); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkDiskFailure judges what a replica has made of a disk that failed and works again.
-func (c *Cluster) checkDiskFailure(ctx context.Context, f *diskFailure, healed time.Duration) error {
+// checkDiskFailure checks how a replica has handled a fault of its disk that has ended. It restarts a replica that
+// ended or applied writes without detecting the fault.
+func (c *Cluster) checkDiskFailure(ctx context.Context, f *diskFailure, healedAt time.Duration) error {
 	if f.Process() != f.child || f.child.StopRequested() {
-		return nil // it was killed meanwhile, which is another fault's
+		return nil // another fault has killed it in the meantime
 	}
 	c.mu.Lock()
 	c.diskChecks++
 	c.mu.Unlock()
 	select {
 	case <-f.child.Ended():
-		c.recordBreach("disk-honest", fmt.Sprintf("copy %s ended when its disk failed: %v", f.Name, f.child.Err()))
+		c.recordBreach("disk-honest", fmt.Sprintf("replica %s ended when its disk failed: %v", f.Name, f.child.Err()))
 		return c.Launch(ctx, f.Replica)
 	default:
 	}
 	if f.loggedDiskFailures() > f.loggedBefore {
-		c.awaitRecovery(ctx, f, healed)
+		c.awaitRecovery(ctx, f, healedAt)
 		return nil
 	}
 	if f.revisionAtHeal > f.revisionAtFailure {
 		c.recordBreach("disk-honest", fmt.Sprintf(
-			"copy %s goes on although its disk takes no more: it has applied revision %d since, after %d",
+			"replica %s did not detect its failed disk: it applied revision %d during the fault, after %d",
 			f.Name, f.revisionAtHeal, f.revisionAtFailure))
 		f.child.Kill()
 		return c.Launch(ctx, f.Replica)
 	}
-	// Who has been sent nothing since has written nothing, and cannot know.
+	// A replica that was sent no write during the fault cannot have detected it: the case does not count as checked.
 	c.mu.Lock()
 	c.diskChecks--
 	c.mu.Unlock()
-	c.Log.Warn("lab: a copy was sent nothing while its disk failed", "copy", f.Name)
+	c.Log.Warn("lab: replica was sent no write during its disk fault", "copy", f.Name)
 	return nil
 }
 
-// awaitRecovery waits for a replica whose disk works again, and measures how long it takes.
-func (c *Cluster) awaitRecovery(ctx context.Context, f *diskFailure, healed time.Duration) {
+// awaitRecovery waits until a replica whose disk fault has ended reaches the newest acknowledged revision, and records
+// how long it took. After diskRecoveryTimeout it records a breach.
+func (c *Cluster) awaitRecovery(ctx context.Context, f *diskFailure, healedAt time.Duration) {
 	wantRev := c.newestAcknowledged()
 	for c.appliedRevision(f.Replica) < wantRev {
-		timedOut := c.Events.Now()-healed > diskRecoveryTimeout
+		timedOut := c.Events.Now()-healedAt > diskRecoveryTimeout
 		if timedOut || !harness.Sleep(ctx, 5*time.Millisecond) {
-			c.recordBreach("disk-honest", fmt.Sprintf("copy %s is not back %v after its disk works again", f.Name, diskRecoveryTimeout))
+			c.recordBreach("disk-honest", fmt.Sprintf("replica %s has not recovered %v after its disk fault ended", f.Name, diskRecoveryTimeout))
 			return
 		}
 	}
 	c.mu.Lock()
-	c.diskRecoveries = append(c.diskRecoveries, c.Events.Now()-healed)
+	c.diskRecoveries = append(c.diskRecoveries, c.Events.Now()-healedAt)
 	c.mu.Unlock()
 }
 
-// newestAcknowledged is the newest revision that was acknowledged to a writer.
+// newestAcknowledged returns the newest revision that was acknowledged to a writer.
 func (c *Cluster) newestAcknowledged() (newest int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -350,8 +361,8 @@
 	return newest
 }
 
-// rejoinEmpty takes replicas that have lost their disk out of the cluster, starts them empty, and adds them again: what
-// docs/registry.md tells an operator to do.
+// rejoinEmpty removes replicas that have lost their data from the cluster, starts them without data and adds them
+// again, which is the procedure for operators in docs/registry.md.
 func (c *Cluster) rejoinEmpty(ctx context.Context, chosen []*Replica) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), harness.StartTimeout)
 	defer cancel()
@@ -362,10 +373,10 @@
 				if err == nil && code == http.StatusOK {
 					return nil
 				}
-				c.Log.Debug("lab: change of the replicas", "code", code, "answer", string(text), "err", err)
+				c.Log.Debug("lab: change of replicas failed", "code", code, "answer", string(text), "err", err)
 			}
 			if !harness.Sleep(ctx, 50*time.Millisecond) {
-				return fmt.Errorf("%s %s: no leader takes it", method, path)
+				return fmt.Errorf("%s %s: no leader accepted the request", method, path)
 			}
 		}
 	}
@@ -392,7 +403,7 @@
 	return nil
 }
 
-// selectReplicas finds the replicas that a fault means, at the moment it happens.
+// selectReplicas returns the replicas that a fault's selector matches at this moment.
 func (c *Cluster) selectReplicas(ctx context.Context, selector string) []*Replica {
 	leader := c.Leader(ctx)
 	var others []*Replica
@@ -412,11 +423,12 @@
 		i, _ := strconv.Atoi(selector[1:])
 		return c.Replicas[i : i+1]
 	}
-	return others[:1] // a follower; any replica, if there is no leader at this moment
+	return others[:1] // a follower, or any replica if there is no leader
 }
 
-// setPartition cuts replicas from the others: what comes to them ("to"), what goes out from them ("from"), or both.
-func (c *Cluster) setPartition(chosen []*Replica, direction string, on bool) error {
+// setPartition starts (enable) or ends a partition between the chosen replicas and the others. The direction is "to"
+// (traffic to the chosen replicas is cut), "from" (traffic from them), or "both".
+func (c *Cluster) setPartition(chosen []*Replica, direction string, enable bool) error {
 	isChosen := func(n int) bool {
 		return slices.ContainsFunc(chosen, func(replica *Replica) bool { return replica.Number == n })
 	}
@@ -425,8 +437,8 @@
 			if isChosen(from) == isChosen(to) {
 				continue
 			}
-			// A link carries calls one way and their answers the other; a cut of what comes to a replica silences the
-			// calls to it and the answers to its own calls.
+			// A link carries requests in one direction and their responses in the other. A cut of the traffic to a
+			// replica drops the requests to it and the responses to its own requests.
 			cut := relay.Both
 			if direction == "to" == isChosen(to) && direction != "both" {
 				cut = relay.To
@@ -434,7 +446,7 @@
 				cut = relay.From
 			}
 			c.links[from][to].Set(func(r *relay.Rules) {
-				if r.Cut &^= cut; on {
+				if r.Cut &^= cut; enable {
 					r.Cut |= cut
 				}
 			})
--- a/internal/lab/cluster/linearizability.go
+++ b/internal/lab/cluster/linearizability.go
@@ -8,8 +8,9 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// The calls of a writer on one entry, for the check that their history is linearizable.
+// This file checks that the history of the writers' calls on each entry is linearizable.
 
+// opKind is the kind of a call on an entry.
 type opKind uint8
 
 const (
@@ -18,38 +19,40 @@
 	opRemove
 )
 
+// outcome is the outcome of a call, as its writer knows it.
 type outcome uint8
 
 const (
-	outcomeNotApplied outcome = iota // it certainly did not happen
-	outcomeOK                        // it was answered
-	outcomeConflict                  // its condition did not hold
-	outcomeUnknown                   // it may have happened, or may yet
+	outcomeNotApplied outcome = iota // it was certainly not applied, and never will be
+	outcomeOK                        // it succeeded
+	outcomeConflict                  // it was rejected: its condition did not hold
+	outcomeUnknown                   // it may have been applied, or may still be
 )
 
-// operation is one call and what came of it.
+// operation is one call on an entry and its outcome.
 type operation struct {
 	key              string
 	client           int
 	kind             opKind
-	value            int64 // that a put writes; no two write the same
-	condition        int64 // revision of the entry's last change; 0: there is none; -1: in any case
+	value            int64 // the value that a write writes, different for each write
+	condition        int64 // required revision of the entry; 0: the entry must not exist; -1: no condition
 	outcome          outcome
 	returnedRev      int64
 	returnedValue    int64
 	called, returned time.Duration
 }
 
-// register is one entry as the model has it.
+// register is the state of one entry in the model.
 type register struct {
-	value int64 // 0: there is none
-	rev   int64 // of its last change; unknownRevision: of a write without an answer
+	value int64 // 0: the entry does not exist
+	rev   int64 // of its last change, or unknownRevision if that was a write with an unknown outcome
 }
 
+// unknownRevision is the revision of a write with an unknown outcome: its writer did not receive the revision.
 const unknownRevision = -1
 
-// entryModel is one entry that is put, removed and read. A write without an answer may have happened or not, at any time
-// until the end.
+// entryModel returns the model of one entry that is written, removed and read. A write with an unknown outcome may have
+// been applied or not, at any time until the end of the history.
 func entryModel() porcupine.Model {
 	m := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{register{}} },
@@ -83,7 +86,7 @@
 				return []any{register{op.returnedValue, op.returnedRev}}
 			}
 			if op.kind == opRemove {
-				// One that finds nothing is answered too, whatever its condition.
+				// The removal of an entry that does not exist succeeds, whatever its condition.
 				if s.value == 0 || conditionMayHold {
 					return []any{register{}}
 				}
@@ -98,10 +101,11 @@
 	return m.ToModel()
 }
 
-// historyCheckTimeout bounds the check of one entry's history.
+// historyCheckTimeout bounds the duration of the check of one entry's history.
 const historyCheckTimeout = 20 * time.Second
 
-// checkLinearizable names an entry whose history no order of single steps explains; empty: there is none.
+// checkLinearizable returns a description of an entry whose history is not linearizable or could not be checked within
+// historyCheckTimeout, or an empty string if there is none.
 func checkLinearizable(ops []operation) string {
 	byKey := map[string][]porcupine.Operation{}
 	for _, op := range ops {
@@ -117,9 +121,9 @@
 	for key, history := range byKey {
 		switch porcupine.CheckOperationsTimeout(entryModel(), history, historyCheckTimeout) {
 		case porcupine.Illegal:
-			return fmt.Sprintf("no order of single steps explains the %d calls on entry %s", len(history), key)
+			return fmt.Sprintf("entry %[2]s: the history of %[1]d calls is not linearizable", len(history), key)
 		case porcupine.Unknown:
-			return fmt.Sprintf("the %d calls on entry %s could not be checked within %v", len(history), key, historyCheckTimeout)
+			return fmt.Sprintf("entry %[2]s: the history of %[1]d calls could not be checked within %[3]v", len(history), key, historyCheckTimeout)
 		}
 	}
 	return ""
--- a/internal/lab/cluster/operators.go
+++ b/internal/lab/cluster/operators.go
@@ -10,7 +10,8 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// routesConfig are the lines of a replica's configuration that turn routes on.
+// routesConfig returns the lines of a replica's configuration that turn routes on, or an empty string if the scenario
+// has no routes.
 func (c *Cluster) routesConfig() string {
 	if !c.Scenario.HasRoutes() {
 		return ""
@@ -22,9 +23,10 @@
 	return lines
 }
 
+// operatorsFile returns the path of the operators' file.
 func (c *Cluster) operatorsFile() string { return filepath.Join(c.Dir, "operators.toml") }
 
-// writeOperatorsFile writes the file that says what tenants may do.
+// writeOperatorsFile writes the file with the subsets of servers and the limits of tenants, if the scenario has routes.
 func (c *Cluster) writeOperatorsFile() error {
 	if !c.Scenario.HasRoutes() {
 		return nil
@@ -42,7 +44,7 @@
 	var subsets, tenants []map[string]any
 	for _, subset := range routes.Subsets {
 		fields := map[string]any{"name": subset.Name}
-		if subset.Servers != "" { // drawn: by their names
+		if subset.Servers != "" { // the plan has drawn the servers: list their UIDs
 			var uids []string
 			for _, i := range c.Plan.Subsets[subset.Name] {
 				uids = append(uids, c.Plan.Servers[i].UID)
@@ -60,7 +62,7 @@
 	file["subset"], file["tenant"] = subsets, tenants
 	text, err := toml.Marshal(file)
 	if err != nil {
-		return fmt.Errorf("operators' file: %w", err)
+		return fmt.Errorf("encode operators' file: %w", err)
 	}
 	return os.WriteFile(c.operatorsFile(), text, 0o644)
 }
--- a/internal/lab/cluster/result.go
+++ b/internal/lab/cluster/result.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file is what a run of the registry came to.
+// This file computes the result of a run of the registry alone.
 
 import (
 	"cmp"
@@ -14,7 +14,7 @@
 	"marblelane/internal/lab/report"
 )
 
-// result sums the run up, and checks the history of the writers and the lists that were read.
+// result returns the report of the run. It checks the history of the writers and the ages of the lists that were read.
 func (c *Cluster) result(watchers []*watcher, timerLag []time.Duration) *report.Report {
 	out := &report.RegistryResult{Replicas: len(c.Replicas), Watchers: len(watchers), Reads: len(c.reads),
 		ReadsLost: c.failedReads, Lines: c.watchLines.Load(), Rejoins: c.rewatches.Load()}
@@ -50,10 +50,12 @@
 	}
 }
 
-// maxKnownAge is the greatest age of a list that counts: a replica that has just started knows no age.
+// maxKnownAge bounds the ages of lists that count. A replica that has just started does not know the age of its list
+// and reports a greater one.
 const maxKnownAge = time.Hour
 
-// summarizeTimes sums up how long replicas, disks, writes and watchers took.
+// summarizeTimes fills in the times: ages of lists, recoveries of replicas and disks, propagation to watchers, and gaps
+// between writes after faults.
 func (c *Cluster) summarizeTimes(out *report.RegistryResult, watchers []*watcher) {
 	for _, read := range c.reads {
 		if read.age < maxKnownAge {
@@ -76,7 +78,7 @@
 	}
 }
 
-// firstWriteSince is when the first write was acknowledged that was called since a time.
+// firstWriteSince returns the earliest acknowledgement of the writes that were called at or after start.
 func (c *Cluster) firstWriteSince(start time.Duration) (first time.Duration, ok bool) {
 	for _, w := range c.acknowledged {
 		if w.called >= start && (!ok || w.acknowledged < first) {
@@ -86,7 +88,7 @@
 	return first, ok
 }
 
-// percentile is in milliseconds, of a sorted list.
+// percentile returns the q quantile of a sorted list in milliseconds, or 0 if the list is empty.
 func percentile(sorted []time.Duration, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -96,6 +98,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
+// measureReplicas returns the resource usage of each replica's process.
 func (c *Cluster) measureReplicas() (processes []measure.Process) {
 	const megabyte = 1 << 20
 	for _, replica := range c.Replicas {
@@ -109,14 +112,14 @@
 	return processes
 }
 
-// verdict is the invariants with how many cases each was checked on.
+// verdict returns the breaches, and for each invariant the number of cases that it was checked on.
 func (c *Cluster) verdict() *invariant.Verdict {
 	checked := map[string]int{"linearizable": len(c.history), "watchers-agree": int(c.watchLines.Load()),
 		"age-told": len(c.reads), "disk-honest": c.diskChecks}
 	return &invariant.Verdict{Counts: c.breachCounts, Breaches: c.breaches, Checked: checked}
 }
 
-// timerLateness judges the run by the timers of the lab alone, as it has no planned arrivals.
+// timerLateness returns the lateness of the run by the lab's timers alone, as the run has no planned arrivals.
 func timerLateness(timerLag []time.Duration) (l report.Lateness) {
 	slices.Sort(timerLag)
 	l.LagMS = percentile(timerLag, 0.99)
@@ -124,31 +127,34 @@
 	return l
 }
 
-// checkListAges finds a list that lacks a write which had been acknowledged before the time that the list is said to be
-// of. A replica states its age while it is asked, so the time is no earlier than the call less the age.
+// checkListAges returns a description of a list that lacks a write which had been acknowledged before the time of the
+// list by its reported age, or an empty string. A replica determines the age during the call, so the time of the list
+// is no earlier than the start of the call minus the age.
 func checkListAges(reads []listRead, acks []ackedWrite) string {
 	acks = slices.Clone(acks)
 	slices.SortFunc(acks, func(a, b ackedWrite) int { return cmp.Compare(a.acknowledged, b.acknowledged) })
-	for i := 1; i < len(acks); i++ { // the greatest revision acknowledged by then
+	for i := 1; i < len(acks); i++ { // rev becomes the greatest revision acknowledged by then
 		acks[i].rev = max(acks[i].rev, acks[i-1].rev)
 	}
 	for _, read := range reads {
 		i, _ := slices.BinarySearchFunc(acks, read.called-read.age, func(a ackedWrite, at time.Duration) int { return cmp.Compare(a.acknowledged, at) })
 		if i > 0 && acks[i-1].rev > read.rev {
-			return fmt.Sprintf("copy %s gave a list of revision %d with an age of %v; revision %d had been acknowledged %v before the call",
+			return fmt.Sprintf("replica %s sent a list of revision %d with an age of %v, but revision %d had been acknowledged %v before the call",
 				read.replica, read.rev, read.age, acks[i-1].rev, read.called-acks[i-1].acknowledged)
 		}
 	}
 	return ""
 }
 
-// propagationTimes is, for each write, the time from its call until the last watcher had its revision; sorted.
+// propagationTimes returns, sorted, the time of each write from its call until the last watcher had its revision.
+// Writes that did not reach all watchers are left out.
 func propagationTimes(acks []ackedWrite, watchers []*watcher) []time.Duration {
 	var times []time.Duration
 	for _, a := range acks {
 		last := time.Duration(0)
 		for _, w := range watchers {
-			// A watcher that went to a replica that lags may have gone back; what counts is when it first had it.
+			// The revision of a watcher goes back when it reconnects to a replica that lags. What counts is when it
+			// first had this one.
 			i := slices.IndexFunc(w.firstSeen, func(t ackedWrite) bool { return t.rev >= a.rev })
 			if i < 0 {
 				last = -1
@@ -164,7 +170,7 @@
 	return times
 }
 
-// AddBreachesTo adds the rules that the replicas broke to a verdict.
+// AddBreachesTo adds the breaches of the replicas, and the number of checked disk failures, to a verdict.
 func (c *Cluster) AddBreachesTo(v *invariant.Verdict) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file is a run of the registry alone.
+// This file runs the registry alone.
 
 import (
 	"context"
@@ -17,22 +17,22 @@
 	"marblelane/internal/registry/state"
 )
 
-// registryRun is a run of the registry alone: writers, readers and watchers call the replicas through all faults.
+// registryRun is a run of the registry alone: writers, a reader and watchers call the replicas through all faults.
 type registryRun struct {
 	*Cluster
 	watchers     []*watcher
-	watching     sync.WaitGroup
+	watcherGroup sync.WaitGroup
 	stopWatching context.CancelFunc
 }
 
-// NewRun is a run of a scenario of the registry alone.
+// NewRun returns the run of a scenario of the registry alone.
 func NewRun(r *harness.Run) harness.Phases {
 	return &registryRun{Cluster: New(r, &r.Scenario.Registry), stopWatching: func() {}}
 }
 
-// Drive lets writers, readers, watchers and faults go on for the length of the run. Faults are undone when ctx ends.
+// Drive runs writers, a reader, watchers and faults for the length of the run. Faults are ended when ctx ends.
 func (r *registryRun) Drive(ctx context.Context) error {
-	r.startWatchers(context.WithoutCancel(ctx)) // they watch until all is collected
+	r.startWatchers(context.WithoutCancel(ctx)) // they watch until Collect has finished
 	ctx, cancel := context.WithTimeout(ctx, r.Scenario.Length.Duration())
 	defer cancel()
 	var clients sync.WaitGroup
@@ -46,17 +46,18 @@
 	return nil
 }
 
+// startWatchers starts the watchers, which run until stopWatchers or the end of ctx.
 func (r *registryRun) startWatchers(ctx context.Context) {
 	ctx, r.stopWatching = context.WithCancel(ctx)
 	for i := range r.config.Watchers {
 		rng := rand.New(rand.NewPCG(r.Plan.Seed, uint64(i)+1<<32))
 		w := &watcher{cluster: r.Cluster, rng: rng, list: map[string]state.Entry{}}
 		r.watchers = append(r.watchers, w)
-		r.watching.Go(func() { w.follow(ctx) })
+		r.watcherGroup.Go(func() { w.follow(ctx) })
 	}
 }
 
-// Collect waits until the registry writes again and all watchers have the last change.
+// Collect waits until the registry accepts writes and all watchers have the last change, and stops the watchers.
 func (r *registryRun) Collect(ctx context.Context) error {
 	if err := r.awaitWritable(ctx); err != nil {
 		return err
@@ -66,33 +67,35 @@
 	return nil
 }
 
+// stopWatchers stops the watchers and waits for them.
 func (r *registryRun) stopWatchers() {
 	r.stopWatching()
-	r.watching.Wait()
+	r.watcherGroup.Wait()
 }
 
-// Check sums up the run and checks the history of its writers.
+// Check checks the invariants of the run and returns its report.
 func (r *registryRun) Check(timers harness.TimerLag) *report.Report {
 	return r.result(r.watchers, timers.Lag)
 }
 
-// Status is how far the run is.
+// Status returns a line about the progress of the run.
 func (r *registryRun) Status() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fmt.Sprintf("%d writes acknowledged, %d lines told", len(r.acknowledged), r.watchLines.Load())
+	return fmt.Sprintf("%d writes acknowledged, %d watch lines received", len(r.acknowledged), r.watchLines.Load())
 }
 
-// Close ends the watchers and the replicas.
+// Close stops the watchers and the replicas.
 func (r *registryRun) Close() {
 	r.stopWatchers()
 	r.Stop()
 }
 
-// convergenceTimeout is how long the last watcher may take to get the last change.
+// convergenceTimeout is how long the watchers may take until all have the leader's list.
 const convergenceTimeout = 20 * time.Second
 
-// awaitConvergence waits until all watchers have the leader's list.
+// awaitConvergence waits until all watchers have the leader's list. It records a breach if one has a different list at
+// the same revision, or after convergenceTimeout.
 func (c *Cluster) awaitConvergence(ctx context.Context, watchers []*watcher) {
 	ctx, cancel := context.WithTimeout(ctx, convergenceTimeout)
 	defer cancel()
@@ -101,7 +104,7 @@
 		var list state.List
 		if leader := c.Leader(ctx); leader != nil {
 			if code, text, err := Call(ctx, http.MethodGet, leader.URL("/registry/instances"), nil); err == nil && code == http.StatusOK {
-				_ = json.Unmarshal(text, &list) // an unreadable one has no revision, and all are behind
+				_ = json.Unmarshal(text, &list) // a list that can't be decoded has revision 0, which does not end the wait
 			}
 		}
 		want := map[string]state.Entry{}
@@ -118,20 +121,21 @@
 			w.mu.Unlock()
 		}
 		if differing > 0 {
-			c.recordBreach("watchers-agree", fmt.Sprintf("%d of %d watchers have another list than the leader at revision %d", differing, len(watchers), list.Rev))
+			c.recordBreach("watchers-agree", fmt.Sprintf("%d of %d watchers have a different list than the leader at revision %d", differing, len(watchers), list.Rev))
 			return
 		}
 		if behind == 0 && list.Rev > 0 {
 			return
 		}
 		if !harness.Sleep(ctx, 50*time.Millisecond) {
-			c.recordBreach("watchers-agree", fmt.Sprintf("%d of %d watchers have not heard the last change after %v", behind, len(watchers), convergenceTimeout))
+			c.recordBreach("watchers-agree", fmt.Sprintf("%d of %d watchers have not received the last change after %v", behind, len(watchers), convergenceTimeout))
 			return
 		}
 	}
 }
 
-// awaitWritable waits until the registry takes writes again; the run is over and all faults are undone.
+// awaitWritable waits until the registry accepts a write. It is called at the end of the run, when all faults have
+// ended.
 func (c *Cluster) awaitWritable(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
@@ -143,7 +147,7 @@
 			}
 		}
 		if !harness.Sleep(ctx, 50*time.Millisecond) {
-			return errors.New("the list service does not write again although all faults are over")
+			return errors.New("await write: the list service accepts no write although all faults have ended")
 		}
 	}
 }
--- a/internal/lab/crowd/crowd.go
+++ b/internal/lab/crowd/crowd.go
@@ -1,9 +1,11 @@
-// Package crowd simulates many sidecars that call a list service of fixed capacity at once: the real decision module of each
-// (package balance) on one simulated clock, so that hundreds of callers and minutes take milliseconds.
+// Package crowd simulates many sidecars that call a list service of fixed capacity at once. Each caller is the real
+// decision module (package balance). All run on one simulated clock, so that minutes with hundreds of callers take
+// milliseconds.
 //
-// The service is as the operators' pages describe it: calls wait in a queue, each costs as many lines as it is sent, and a
-// call that has waited too long fails. A call that was started is finished. One that is abandoned or fails in the queue
-// costs nothing, or, with Spec.WastesFailedCalls, as much as any other: such a service does not notice closed connections.
+// The service behaves as the operators' pages describe it: calls wait in a queue, a call costs as many lines as its
+// response has, and a call that has waited too long fails. A call that was started is completed. One that is abandoned
+// or fails in the queue costs nothing, or, with Spec.WastesFailedCalls, as much as any other: such a service does not
+// detect closed connections.
 package crowd
 
 import (
@@ -16,32 +18,33 @@
 	"marblelane/internal/lab/simclock"
 )
 
-// Spec is one run. Times are milliseconds.
+// Spec is the input of one run. Times are in milliseconds.
 type Spec struct {
 	Callers      int
-	Servers      int     // lines of the whole list
-	Capacity     float64 // lines a second that the service sends
+	Servers      int     // length of the list, one line per server
+	Capacity     float64 // lines that the service sends per second
 	CallTimeout  float64 // how long a call may wait in the queue
-	StartSpread  float64 // within which all sidecars start
-	Length       float64
-	PollInterval float64 // the settings' rules.ask_within_ms
-	// LongestPause is balance.Config's, which sidecars set; 0: none.
+	StartSpread  float64 // all sidecars start within this time, evenly spread
+	Length       float64 // duration of the run
+	PollInterval float64 // of balance.Config; the setting rules.ask_within_ms of the sidecar
+	// MaxPollBackoff is the value for balance.Config, which sidecars set. 0 means none.
 	MaxPollBackoff    float64
-	WastesFailedCalls bool // calls that failed in the queue cost as much as any other
+	WastesFailedCalls bool // calls that fail in the queue cost as much as any other
 	Seed              uint64
 }
 
-// Result is what came of it.
+// Result is the outcome of a run. P50, P99 and Max are the times, in milliseconds since the start of the run, at which
+// sidecars received their first list: over those that have one, and infinite if there are none.
 type Result struct {
-	Calls     int     `json:"calls"`
+	Calls     int     `json:"calls"` // started, also those that have not ended
 	Succeeded int     `json:"answered"`
 	Failed    int     `json:"failed"`
 	HaveList  int     `json:"told"` // sidecars that have a list at the end
 	P50       float64 `json:"told_p50_ms"`
-	P99       float64 `json:"told_p99_ms"` // of those that have a list, since the first started
+	P99       float64 `json:"told_p99_ms"`
 	Max       float64 `json:"told_last_ms"`
-	Busy      float64 `json:"busy"`   // share of the service's time that went into calls
-	Useful    float64 `json:"useful"` // ... into calls that were answered
+	Busy      float64 `json:"busy"`   // fraction of the service's time spent on calls
+	Useful    float64 `json:"useful"` // fraction of the service's time spent on calls that succeeded
 }
 
 // simulation is a run in progress.
@@ -50,21 +53,22 @@
 	spec       Spec
 	servers    []balance.Server
 	callers    []*caller
-	idleAt     float64 // when the service has finished all calls that are queued
+	idleAt     float64 // when the service will have finished all queued calls
 	busyTime   float64
 	usefulTime float64
 	counts     Result
 }
 
+// caller is one sidecar.
 type caller struct {
 	balancer    *balance.Balancer
-	firstListAt float64 // when it got its first list; negative: not yet
+	firstListAt float64 // when it received its first list; negative: not yet
 }
 
-// Run simulates one spec.
+// Run runs the simulation of a spec.
 func Run(spec Spec) (*Result, error) {
 	if spec.Callers < 1 || spec.Servers < 1 || !(spec.Capacity > 0) || !(spec.Length > 0) {
-		return nil, errors.New("crowd: callers, servers, capacity and length have to be over 0")
+		return nil, errors.New("crowd: callers, servers, capacity and length must be above 0")
 	}
 	sim := &simulation{spec: spec}
 	for i := range spec.Servers {
@@ -86,6 +90,7 @@
 	return sim.result(), nil
 }
 
+// execute carries out the actions that a caller's balancer has returned.
 func (s *simulation) execute(c *caller, actions []balance.Action) {
 	for _, a := range slices.Clone(actions) {
 		switch a.Kind {
@@ -97,6 +102,7 @@
 	}
 }
 
+// handleEvent passes an event to a caller's balancer and carries out the resulting actions.
 func (s *simulation) handleEvent(c *caller, ev balance.Event) {
 	actions, err := c.balancer.Handle(s.Now(), ev)
 	if err == nil {
@@ -104,7 +110,7 @@
 	}
 }
 
-// queueCall queues a call. The queue is first in, first out, so the start of the call is known at once.
+// queueCall queues a call. The queue is first in, first out, so that the start of the call can be computed at once.
 func (s *simulation) queueCall(c *caller) {
 	s.counts.Calls++
 	begin := math.Max(s.idleAt, s.Now())
@@ -130,6 +136,7 @@
 	})
 }
 
+// result returns the result of the run so far.
 func (s *simulation) result() *Result {
 	var listTimes []float64
 	for _, c := range s.callers {
--- a/internal/lab/crowd/crowd_test.go
+++ b/internal/lab/crowd/crowd_test.go
@@ -9,23 +9,23 @@
 		t.Fatal(err)
 	}
 	if r.HaveList != 300 || r.Succeeded != 300 || r.Failed == 0 || r.Calls != r.Succeeded+r.Failed || r.Busy != r.Useful {
-		t.Errorf("with room for all: %+v", r)
+		t.Errorf("service that can serve all callers in time: %+v", r)
 	}
 	again, err := Run(spec)
 	if err != nil || *again != *r {
-		t.Errorf("the same seed gives another run: %+v, %+v, %v", r, again, err)
+		t.Errorf("two runs of the same seed differ: %+v, %+v, %v", r, again, err)
 	}
 	spec.WastesFailedCalls = true
 	wasteful, err := Run(spec)
 	if err != nil || wasteful.P50 <= r.P50 || wasteful.Useful >= wasteful.Busy {
-		t.Errorf("calls that failed cost the service, and nothing is slower: %+v, %v", wasteful, err)
+		t.Errorf("failed calls cost the service its time, but lists come no later: %+v, %v", wasteful, err)
 	}
 	spec.WastesFailedCalls, spec.Callers, spec.StartSpread = false, 20, 10000
 	if r, err := Run(spec); err != nil || r.Failed != 0 || r.HaveList != 20 {
-		t.Errorf("a few who come one by one: %+v, %v", r, err)
+		t.Errorf("few callers that start one by one: %+v, %v", r, err)
 	}
 	spec.Capacity = 0
 	if _, err := Run(spec); err == nil {
-		t.Error("a service without capacity is no error")
+		t.Error("Run accepted a service without capacity")
 	}
 }
