--- a/internal/lab/client/leave.go
+++ b/internal/lab/client/leave.go
@@ -15,7 +15,8 @@
 // partialNextRequest is the start of a pipelined request that is never completed.
 const partialNextRequest = "GET /api HTTP/1.1\r\nHost: back"
 
-// When it is sent: never, with the request, or pipelineDelay later, when the request has been read.
+// When partialNextRequest is sent: never, together with the request, or pipelineDelay after it, when the sidecar has
+// read the request.
 const (
 	notPipelined = iota
 	pipelinedWithRequest
@@ -23,27 +24,28 @@
 	pipelineDelay = 5 * time.Millisecond
 )
 
-// clientBehaviour is how an attempt's client deviates from a plain exchange. It is drawn from the attempt's id, so that it
-// does not change other random draws.
+// clientBehaviour is how an attempt's client deviates from a plain exchange. Its random source is seeded by the
+// attempt's ID, so that it does not change other random draws.
 type clientBehaviour struct {
-	leaveWay  string // how it ends the connection if it leaves early: one of scenario.LeaveModes
-	pipelined int    // when it sends partialNextRequest
+	leaveMode string // how the client ends the connection if it leaves early: one of the scenario's LeaveModes
+	pipelined int    // when the client sends partialNextRequest
 }
 
+// drawBehaviour returns the behaviour of the attempt's client, which depends on the attempt's ID alone.
 func (t *attempt) drawBehaviour() clientBehaviour {
 	traffic := &t.load.Plan.Scenario.Traffic
-	r := rand.New(rand.NewPCG(t.id, 0x6c65617665))
-	way := traffic.LeaveModes[r.IntN(len(traffic.LeaveModes))]
-	h := clientBehaviour{leaveWay: way, pipelined: notPipelined}
-	if r.Float64() < traffic.PipelinedFraction {
-		h.pipelined = pipelinedWithRequest + r.IntN(2)
+	rng := rand.New(rand.NewPCG(t.id, 0x6c65617665))
+	leaveMode := traffic.LeaveModes[rng.IntN(len(traffic.LeaveModes))]
+	behaviour := clientBehaviour{leaveMode: leaveMode, pipelined: notPipelined}
+	if rng.Float64() < traffic.PipelinedFraction {
+		behaviour.pipelined = pipelinedWithRequest + rng.IntN(2)
 	}
-	return h
+	return behaviour
 }
 
-// leave ends the attempt's connection before its answer has arrived.
-func (t *attempt) leave(c *conn, way string) {
-	switch way {
+// leave ends the attempt's connection before its response has arrived.
+func (t *attempt) leave(c *conn, mode string) {
+	switch mode {
 	case scenario.LeaveHalfClose:
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
 			_ = tcp.CloseWrite() // fails only if the connection has ended
@@ -51,30 +53,30 @@
 		t.load.wg.Go(func() { t.drain(c) })
 	case scenario.LeaveReset:
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // as above
+			_ = tcp.SetLinger(0) // fails only if the connection has ended
 		}
 		c.Close()
 	default:
 		c.Close()
 	}
-	t.note(record.ClientDisconnected, record.Event{Note: way})
+	t.recordEvent(record.ClientDisconnected, record.Event{Note: mode})
 }
 
-// drain reads and discards what still arrives on a half-closed connection, up to the attempt's timeout and the grace
-// period.
+// drain reads and discards what arrives on a half-closed connection, for at most the attempt's timeout plus
+// lateResponseGrace.
 func (t *attempt) drain(c *conn) {
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(t.timeout + lateAnswerGrace)) // on a closed connection the read below fails
-	_, _ = io.Copy(io.Discard, c.in)                               // the client has left: the bytes are discarded
+	_ = c.SetDeadline(time.Now().Add(t.timeout + lateResponseGrace)) // on a closed connection the read below fails
+	_, _ = io.Copy(io.Discard, c.reader)                             // the client has left: nothing is recorded
 }
 
-// awaitingAnswer has the attempts whose clients wait for an answer.
-type awaitingAnswer struct {
+// awaitingResponse holds the attempts whose clients wait for a response, with their connections.
+type awaitingResponse struct {
 	mu       sync.Mutex
 	attempts map[*attempt]*conn
 }
 
-func (w *awaitingAnswer) add(t *attempt, c *conn) {
+func (w *awaitingResponse) add(t *attempt, c *conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.attempts == nil {
@@ -83,21 +85,22 @@
 	w.attempts[t] = c
 }
 
-func (w *awaitingAnswer) remove(t *attempt) {
+func (w *awaitingResponse) remove(t *attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.attempts, t)
 }
 
-// LeaveEarly makes the clients of a fraction of the attempts that wait for an answer of these sidecars leave immediately.
+// LeaveEarly makes the clients of a random fraction of the attempts that wait for a response of these sidecars leave
+// immediately.
 func (l *Load) LeaveEarly(sidecars []int, fraction float64) {
-	l.waiting.mu.Lock()
-	defer l.waiting.mu.Unlock()
-	for t, c := range l.waiting.attempts {
+	l.awaiting.mu.Lock()
+	defer l.awaiting.mu.Unlock()
+	for t, c := range l.awaiting.attempts {
 		if !slices.Contains(sidecars, t.arrival.Sidecar) || rand.New(rand.NewPCG(t.id, 1)).Float64() >= fraction {
 			continue
 		}
 		t.leaveRequested.Store(true)
-		_ = c.SetDeadline(time.Unix(1, 0)) // ends the client's read
+		_ = c.SetDeadline(time.Unix(1, 0)) // interrupts the client's read
 	}
 }
--- a/internal/lab/cluster/clients.go
+++ b/internal/lab/cluster/clients.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file is the writers, readers and watchers of the registry.
+// This file holds the writers, readers and watchers that call the registry.
 
 import (
 	"bufio"
@@ -24,46 +24,47 @@
 	"marblelane/internal/registry/state"
 )
 
-// writer writes and reads single entries through replicas drawn at random, as fast as its pause lets it.
+// writer writes, removes and reads single entries through random replicas until ctx ends, with the configured pause
+// between calls.
 func (c *Cluster) writer(ctx context.Context, number int) {
 	rng := rand.New(rand.NewPCG(c.Plan.Seed, uint64(number)+1))
-	known := map[string]int64{} // the last revision of each entry that it has seen
-	old := map[string]operation{}
+	lastRevs := map[string]int64{}       // by entry: its revision after the last successful call; 0: it does not exist
+	firstReads := map[string]operation{} // by entry: its first successful read, which the planted defect returns again
 	for ctx.Err() == nil {
 		key := fmt.Sprint("s-", rng.IntN(c.config.Entries))
-		op := operation{key: key, client: number, kind: opPut, condition: -1}
+		op := operation{key: key, client: number, kind: opWrite, condition: -1}
 		switch x := rng.Float64(); {
 		case x < 0.3:
-			op.kind = opGet
+			op.kind = opRead
 		case x < 0.4:
 			op.kind = opRemove
 		}
-		if op.kind != opGet && rng.Float64() < 0.5 {
-			op.condition = known[key]
+		if op.kind != opRead && rng.Float64() < 0.5 {
+			op.condition = lastRevs[key]
 		}
-		if op.kind == opPut {
+		if op.kind == opWrite {
 			op.value = c.lastValue.Add(1)
 		}
 		replica := c.Replicas[rng.IntN(len(c.Replicas))]
-		op.call = c.Events.Now()
-		if was, ok := old[key]; ok && op.kind == opGet && c.servesStaleReads.Load() {
-			op.outcome, op.gotValue, op.gotRev = was.outcome, was.gotValue, was.gotRev
+		op.called = c.Events.Now()
+		if firstRead, ok := firstReads[key]; ok && op.kind == opRead && c.servesStaleReads.Load() {
+			op.outcome, op.returnedValue, op.returnedRev = firstRead.outcome, firstRead.returnedValue, firstRead.returnedRev
 		} else {
 			c.execute(&op, replica)
 		}
 		op.returned = c.Events.Now()
 		if op.outcome == outcomeOK {
-			known[key] = op.gotRev
-			if op.kind == opGet {
-				if _, ok := old[key]; !ok {
-					old[key] = op
+			lastRevs[key] = op.returnedRev
+			if op.kind == opRead {
+				if _, ok := firstReads[key]; !ok {
+					firstReads[key] = op
 				}
 			}
 		}
 		c.mu.Lock()
 		c.history = append(c.history, op)
-		if op.outcome == outcomeOK && op.kind == opPut {
-			c.acknowledged = append(c.acknowledged, ackedWrite{op.gotRev, op.call, op.returned})
+		if op.outcome == outcomeOK && op.kind == opWrite {
+			c.acknowledged = append(c.acknowledged, ackedWrite{op.returnedRev, op.called, op.returned})
 		}
 		c.mu.Unlock()
 		select {
@@ -73,12 +74,12 @@
 	}
 }
 
-// execute makes one call and reads its outcome. A call that is under way when the run ends is finished.
+// execute makes one call and records its outcome in op. A call in progress when the run ends is completed.
 func (c *Cluster) execute(op *operation, replica *Replica) {
 	url := "http://" + replica.Address + "/registry/instances/" + op.key
 	method, body := http.MethodGet, []byte(nil)
 	switch op.kind {
-	case opPut:
+	case opWrite:
 		method = http.MethodPost
 		body = fmt.Appendf(nil, `{"endpoint":"127.0.0.1:1","az":"a","boot_ms":%d}`, op.value)
 	case opRemove:
@@ -98,13 +99,13 @@
 	if err != nil {
 		op.outcome = outcomeUnknown
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			op.outcome = outcomeNotApplied // a replica that redirects has done nothing, and no other was reached
+			op.outcome = outcomeNotApplied // no replica was reached; one that redirected the call has not applied it
 		}
 		return
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	var got struct {
+	var response struct {
 		Rev     int64 `json:"rev"`
 		Changed int64 `json:"changed"`
 		BootMS  int64 `json:"boot_ms"`
@@ -112,14 +113,14 @@
 	switch {
 	case err != nil:
 		op.outcome = outcomeUnknown
-	case resp.StatusCode == http.StatusOK && json.Unmarshal(text, &got) == nil:
-		op.outcome, op.gotRev = outcomeOK, max(got.Rev, got.Changed)
-		op.gotValue = got.BootMS
-	case resp.StatusCode == http.StatusNotFound && op.kind == opGet:
-		op.outcome = outcomeOK // there is none
+	case resp.StatusCode == http.StatusOK && json.Unmarshal(text, &response) == nil:
+		op.outcome, op.returnedRev = outcomeOK, max(response.Rev, response.Changed)
+		op.returnedValue = response.BootMS
+	case resp.StatusCode == http.StatusNotFound && op.kind == opRead:
+		op.outcome = outcomeOK // the entry does not exist
 	case resp.StatusCode == http.StatusConflict:
 		op.outcome = outcomeConflict
-	case bytes.Contains(text, []byte("is not known")): // whether it has happened
+	case bytes.Contains(text, []byte("is not known")): // the replica does not know whether it has applied the write
 		op.outcome = outcomeUnknown
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		op.outcome = outcomeNotApplied
@@ -128,29 +129,29 @@
 	}
 }
 
-// reader asks for whole lists, of the next copy where one does not answer.
+// reader reads whole lists until ctx ends. Where a replica does not respond, it calls the next one.
 func (c *Cluster) reader(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(c.Plan.Seed, 1<<40))
 	for ctx.Err() == nil {
-		good := false
+		succeeded := false
 		for _, i := range rng.Perm(len(c.Replicas)) {
-			one := listRead{replica: c.Replicas[i].Name, called: c.Events.Now()}
-			code, head, _, err := CallWithHeader(context.WithoutCancel(ctx), "GET", "http://"+c.Replicas[i].Address+"/registry/instances", nil)
-			if good = err == nil && code == http.StatusOK; !good {
+			read := listRead{replica: c.Replicas[i].Name, called: c.Events.Now()}
+			code, header, _, err := CallWithHeader(context.WithoutCancel(ctx), "GET", "http://"+c.Replicas[i].Address+"/registry/instances", nil)
+			if succeeded = err == nil && code == http.StatusOK; !succeeded {
 				continue
 			}
-			one.rev, _ = strconv.ParseInt(head.Get("X-Registry-Rev"), 10, 64) // 0 where there is no list yet
-			if ms, err := strconv.Atoi(head.Get("X-Registry-Heard-Ms")); err != nil {
-				c.breach("age-told", fmt.Sprintf("copy %s gives a list without its age", one.replica))
-			} else if one.age = time.Duration(ms) * time.Millisecond; c.reportsZeroAge.Load() {
-				one.age = 0
+			read.rev, _ = strconv.ParseInt(header.Get("X-Registry-Rev"), 10, 64) // 0 if the replica has no list yet
+			if ms, err := strconv.Atoi(header.Get("X-Registry-Heard-Ms")); err != nil {
+				c.recordBreach("age-told", fmt.Sprintf("replica %s: list response without its age", read.replica))
+			} else if read.age = time.Duration(ms) * time.Millisecond; c.reportsZeroAge.Load() {
+				read.age = 0
 			}
 			c.mu.Lock()
-			c.reads = append(c.reads, one)
+			c.reads = append(c.reads, read)
 			c.mu.Unlock()
 			break
 		}
-		if !good {
+		if !succeeded {
 			c.mu.Lock()
 			c.failedReads++
 			c.mu.Unlock()
@@ -162,20 +163,21 @@
 	}
 }
 
-// watcher keeps a watch on some replica, and the list that it was sent.
+// watcher keeps a watch on a random replica and applies the received lines to its list.
 type watcher struct {
 	cluster   *Cluster
 	rng       *rand.Rand
 	mu        sync.Mutex
 	list      map[string]state.Entry
 	rev       int64
-	firstSeen []ackedWrite // when it first had a revision
+	firstSeen []ackedWrite // each received revision and when it arrived (in acknowledged)
 }
 
-// watchSilenceTimeout is how long a watch may say nothing before its watcher goes elsewhere: an empty line comes every 2 s.
+// watchSilenceTimeout is how long a watch may be silent before its watcher calls a random replica again. Replicas send
+// an empty line every 2 s.
 const watchSilenceTimeout = 5 * time.Second
 
-// follow keeps a watch on some replica until ctx ends.
+// follow opens watches, one after the other, on random replicas until ctx ends.
 func (w *watcher) follow(ctx context.Context) {
 	for first := true; ctx.Err() == nil; first = false {
 		if !first {
@@ -190,11 +192,12 @@
 	}
 }
 
+// watch runs one watch on a replica until it ends or is silent for watchSilenceTimeout.
 func (w *watcher) watch(ctx context.Context, replica *Replica) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	guard := time.AfterFunc(watchSilenceTimeout, cancel)
-	defer guard.Stop()
+	silenceTimer := time.AfterFunc(watchSilenceTimeout, cancel)
+	defer silenceTimer.Stop()
 	w.mu.Lock()
 	after := w.rev
 	w.mu.Unlock()
@@ -210,69 +213,70 @@
 	if resp.StatusCode != http.StatusOK {
 		return
 	}
-	for in := bufio.NewReader(resp.Body); ; {
-		line, err := in.ReadBytes('\n')
+	for lines := bufio.NewReader(resp.Body); ; {
+		line, err := lines.ReadBytes('\n')
 		if err != nil {
 			return
 		}
-		guard.Reset(watchSilenceTimeout)
+		silenceTimer.Reset(watchSilenceTimeout)
 		if line = bytes.TrimSpace(line); len(line) == 0 {
 			continue
 		}
-		var l state.List
-		if err := json.Unmarshal(line, &l); err != nil {
-			w.cluster.breach("watchers-agree", fmt.Sprintf("a line that cannot be read: %v", err))
+		var list state.List
+		if err := json.Unmarshal(line, &list); err != nil {
+			w.cluster.recordBreach("watchers-agree", fmt.Sprintf("decode watch line: %v", err))
 			return
 		}
 		w.cluster.watchLines.Add(1)
-		w.apply(&l)
+		w.applyLine(&list)
 	}
 }
 
-// apply applies a line and compares the list with what others had at this revision.
-func (w *watcher) apply(l *state.List) {
+// applyLine applies a line and compares the list with the lists of the other watchers at the same revision.
+func (w *watcher) applyLine(line *state.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !l.All && l.Rev <= w.rev {
-		w.cluster.breach("watchers-agree", fmt.Sprintf("after revision %d a change of revision %d was told", w.rev, l.Rev))
+	if !line.All && line.Rev <= w.rev {
+		w.cluster.recordBreach("watchers-agree", fmt.Sprintf("a change of revision %[2]d was received after revision %[1]d", w.rev, line.Rev))
 	}
-	if !l.All && w.cluster.dropsWatchLines.Load() && w.rng.Float64() < 0.05 {
-		w.rev = l.Rev // planted: the line is lost, and its revision is not
+	if !line.All && w.cluster.dropsWatchLines.Load() && w.rng.Float64() < 0.05 {
+		w.rev = line.Rev // planted defect: the line is dropped but its revision is recorded
 		return
 	}
-	if l.All {
+	if line.All {
 		clear(w.list)
 	}
-	for _, e := range l.Targets {
+	for _, e := range line.Targets {
 		if e.State == state.Gone {
 			delete(w.list, e.UID)
 		} else {
 			w.list[e.UID] = e
 		}
 	}
-	w.rev = l.Rev
-	w.firstSeen = append(w.firstSeen, ackedWrite{rev: l.Rev, acknowledged: w.cluster.Events.Now()})
-	w.cluster.checkListHash(l.Rev, listHash(w.list))
+	w.rev = line.Rev
+	w.firstSeen = append(w.firstSeen, ackedWrite{rev: line.Rev, acknowledged: w.cluster.Events.Now()})
+	w.cluster.checkListHash(line.Rev, listHash(w.list))
 }
 
+// listHash returns a hash of the list that does not depend on the order of its entries.
 func listHash(list map[string]state.Entry) uint64 {
-	all := make([]state.Entry, 0, len(list))
+	entries := make([]state.Entry, 0, len(list))
 	for _, e := range list {
-		all = append(all, e)
+		entries = append(entries, e)
 	}
-	slices.SortFunc(all, func(a, b state.Entry) int { return strings.Compare(a.UID, b.UID) })
-	return record.Sum(fmt.Append(nil, all))
+	slices.SortFunc(entries, func(a, b state.Entry) int { return strings.Compare(a.UID, b.UID) })
+	return record.Sum(fmt.Append(nil, entries))
 }
 
-// checkListHash compares a list to what others had at the same revision.
+// checkListHash compares a list with the first one that a watcher had at the same revision.
 func (c *Cluster) checkListHash(rev int64, hash uint64) {
 	c.mu.Lock()
-	was, ok := c.listHashes[rev]
+	recorded, ok := c.listHashes[rev]
 	if !ok {
 		c.listHashes[rev] = hash
 	}
 	c.mu.Unlock()
-	if ok && was != hash {
-		c.breach("watchers-agree", fmt.Sprintf("two watchers have different lists at revision %d", rev))
+	if ok && recorded != hash {
+		c.recordBreach("watchers-agree", fmt.Sprintf("two watchers have different lists at revision %d", rev))
 	}
 }
