--- a/cmd/marblelane/lab_check.go
+++ b/cmd/marblelane/lab_check.go
@@ -19,19 +19,19 @@
 	if err != nil {
 		return err
 	}
-	p := s.Plan(c.Seed)
+	plan := s.Plan(c.Seed)
 	if c.Schedule {
-		_, err := p.WriteTo(a.out)
+		_, err := plan.WriteTo(a.out)
 		return err
 	}
-	busiest := slices.MaxFunc(p.Sidecars, func(x, y scenario.SidecarPlan) int {
+	busiest := slices.MaxFunc(plan.Sidecars, func(x, y scenario.SidecarPlan) int {
 		if x.Weight < y.Weight {
 			return -1
 		}
 		return 1
 	})
 	fmt.Fprintf(a.out, "%s: %s\nseed %d: %d sidecars (the busiest has %.0f%% of the traffic), %d servers in %d pods, capacity %.1f cores\n"+
-		"%d requests in %v (%.1f/s), %d faults\n", s.Name, s.Title, p.Seed, len(p.Sidecars), 100*busiest.Weight, s.Servers.Count,
-		len(p.Pods), p.Capacity, len(p.Arrivals), s.Length.Duration(), p.Rate, len(p.Faults))
+		"%d requests in %v (%.1f/s), %d faults\n", s.Name, s.Title, plan.Seed, len(plan.Sidecars), 100*busiest.Weight, s.Servers.Count,
+		len(plan.Pods), plan.Capacity, len(plan.Arrivals), s.Length.Duration(), plan.Rate, len(plan.Faults))
 	return nil
 }
--- a/cmd/marblelane/lab_growth_test.go
+++ b/cmd/marblelane/lab_growth_test.go
@@ -30,11 +30,11 @@
 		code int
 		says string
 	}{
-		{"within bounds", []string{"--sidecar", sidecarProcess}, exitGood, "CPU seconds        one process"},
+		{"within bounds", []string{"--sidecar", sidecarProcess}, exitOK, "CPU seconds        one process"},
 		{"wasteful", []string{"--sidecar", wasteful}, exitFail, " NO\n"},
-		{"no program", []string{"--sidecar", wasteful + "x"}, exitUse, "--sidecar"},
-		{"no servers", []string{"--sidecar", sidecarProcess, "--servers", "1"}, exitUse, "1 servers"},
-		{"no fleet", []string{"--simulated-servers=-1"}, exitUse, "--simulated-servers is negative"},
+		{"no program", []string{"--sidecar", wasteful + "x"}, exitUsage, "--sidecar"},
+		{"no servers", []string{"--sidecar", sidecarProcess, "--servers", "1"}, exitUsage, "1 servers"},
+		{"no fleet", []string{"--simulated-servers=-1"}, exitUsage, "--simulated-servers is negative"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
--- a/cmd/marblelane/lab_report.go
+++ b/cmd/marblelane/lab_report.go
@@ -24,15 +24,15 @@
 	} else {
 		rep.Print(a.out)
 	}
-	end, reason := rep.Outcome()
+	outcome, reason := rep.Outcome()
 	if reason != "" {
-		end += ": " + reason
+		outcome += ": " + reason
 	}
-	fmt.Fprintln(a.out, end)
+	fmt.Fprintln(a.out, outcome)
 	switch {
-	case strings.HasPrefix(end, report.Fail):
+	case strings.HasPrefix(outcome, report.Fail):
 		return exitError(exitFail)
-	case strings.HasPrefix(end, report.Late):
+	case strings.HasPrefix(outcome, report.Late):
 		return exitError(exitLate)
 	}
 	return nil
--- a/cmd/marblelane/lab_request_cost.go
+++ b/cmd/marblelane/lab_request_cost.go
@@ -30,8 +30,8 @@
 	Quiet       bool     `help:"No progress on standard error."`
 }
 
-// idleFor is from when a sidecar is ready until its memory is measured.
-const idleFor = 2 * time.Second
+// idleTime is from when a sidecar is ready until its memory is measured.
+const idleTime = 2 * time.Second
 
 func (c *labRequestCost) Run(a *app) error {
 	variants, done, err := c.variants(a)
@@ -41,7 +41,7 @@
 	defer done()
 	o := requestcost.Options{Variants: variants, Baseline: c.Base, Rounds: c.Rounds,
 		Length:   time.Duration(c.Seconds * float64(time.Second)),
-		IdleTime: idleFor, Rate: c.Requests, Connections: c.Connections, Servers: c.Servers, IdleMembers: c.Members}
+		IdleTime: idleTime, Rate: c.Requests, Connections: c.Connections, Servers: c.Servers, IdleMembers: c.Members}
 	if !c.Quiet {
 		o.Progress = a.errOut
 	}
@@ -62,7 +62,7 @@
 	}
 	done = func() {}
 	for _, given := range c.Programs {
-		name, file, err := named(given)
+		name, file, err := parseNamedFile(given)
 		if err == nil {
 			err = executable(file)
 		}
@@ -83,7 +83,7 @@
 	}
 	programs := len(all)
 	for _, given := range c.With {
-		if all, err = with(all, given); err != nil {
+		if all, err = applyPatch(all, given); err != nil {
 			done()
 			return nil, nil, fmt.Errorf("--with %s: %w", given, err)
 		}
@@ -91,30 +91,30 @@
 	for _, v := range all[:programs] {
 		if c.Routes {
 			routed := v
-			routed.Name, routed.WithRoutes = beside(v.Name, "routes", programs), true
+			routed.Name, routed.WithRoutes = variantName(v.Name, "routes", programs), true
 			all = append(all, routed)
 		}
 	}
 	for _, v := range all[:programs] {
 		if c.Members > 0 {
 			member := v
-			member.Name, member.WithMembers = beside(v.Name, "members", programs), true
+			member.Name, member.WithMembers = variantName(v.Name, "members", programs), true
 			all = append(all, member)
 		}
 	}
 	return all, done, nil
 }
 
-func beside(name, what string, programs int) string {
+func variantName(name, kind string, programs int) string {
 	if programs == 1 {
-		return what
+		return kind
 	}
-	return name + "+" + what
+	return name + "+" + kind
 }
 
-// with adds a section to the variant of its name, or a variant.
-func with(all []requestcost.Variant, given string) ([]requestcost.Variant, error) {
-	name, file, err := named(given)
+// applyPatch adds a section to the variant of its name, or a variant.
+func applyPatch(variants []requestcost.Variant, arg string) ([]requestcost.Variant, error) {
+	name, file, err := parseNamedFile(arg)
 	if err != nil {
 		return nil, err
 	}
@@ -126,20 +126,20 @@
 	if err := json.Unmarshal(text, &object); err != nil {
 		return nil, fmt.Errorf("is no JSON object: %w", err)
 	}
-	i := slices.IndexFunc(all, func(v requestcost.Variant) bool { return v.Name == name })
+	i := slices.IndexFunc(variants, func(v requestcost.Variant) bool { return v.Name == name })
 	if i < 0 {
-		i = len(all)
-		all = append(all, requestcost.Variant{Name: name, Program: all[0].Program})
+		i = len(variants)
+		variants = append(variants, requestcost.Variant{Name: name, Program: variants[0].Program})
 	}
-	all[i].ConfigPatches = append(slices.Clone(all[i].ConfigPatches), text)
-	return all, nil
+	variants[i].ConfigPatches = append(slices.Clone(variants[i].ConfigPatches), text)
+	return variants, nil
 }
 
-// named takes NAME=FILE apart; a file alone is named by itself.
-func named(given string) (name, file string, err error) {
-	name, file, ok := strings.Cut(given, "=")
+// parseNamedFile takes NAME=FILE apart; a file alone is parseNamedFile by itself.
+func parseNamedFile(arg string) (name, file string, err error) {
+	name, file, ok := strings.Cut(arg, "=")
 	if !ok {
-		file = given
+		file = arg
 		name = strings.TrimSuffix(filepath.Base(file), ".json")
 	}
 	if name == "" || file == "" {
--- a/cmd/marblelane/main.go
+++ b/cmd/marblelane/main.go
@@ -16,10 +16,10 @@
 
 // The ways a command ends.
 const (
-	exitGood = 0
-	exitFail = 1 // an expectation or a rule was broken
-	exitUse  = 2 // the call or a file cannot be meant, or the run could not be played
-	exitLate = 3 // the lab was late, the run does not count
+	exitOK    = 0
+	exitFail  = 1 // an expectation or a rule was broken
+	exitUsage = 2 // the call or a file cannot be meant, or the run could not be played
+	exitLate  = 3 // the lab was late, the run does not count
 )
 
 // exitError carries how a command that has already said all ends.
@@ -57,32 +57,32 @@
 // run is main without the process around it.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	var c cli
-	ended := -1
+	exitCode := -1
 	parser, err := kong.New(&c, kong.Name("marblelane"), kong.Writers(out, errOut),
 		kong.Description("Client-side load balancing for fleets that keep running while things break."),
-		kong.Exit(func(code int) { ended = code }))
+		kong.Exit(func(code int) { exitCode = code }))
 	if err != nil {
 		fmt.Fprintln(errOut, "marblelane:", err)
-		return exitUse
+		return exitUsage
 	}
 	k, err := parser.Parse(args)
-	if ended >= 0 { // --help was given
-		return ended
+	if exitCode >= 0 { // --help was given
+		return exitCode
 	}
 	if err != nil {
 		fmt.Fprintf(errOut, "marblelane: %v; --help after a command shows how it is called\n", err)
-		return exitUse
+		return exitUsage
 	}
 	err = k.Run(&app{ctx: ctx, out: out, errOut: errOut, log: c.logger(errOut)})
 	var exit exitError
 	switch {
 	case err == nil:
-		return exitGood
+		return exitOK
 	case errors.As(err, &exit):
 		return int(exit)
 	default:
 		fmt.Fprintln(errOut, "marblelane:", err)
-		return exitUse
+		return exitUsage
 	}
 }
 
--- a/cmd/marblelane/main_test.go
+++ b/cmd/marblelane/main_test.go
@@ -151,7 +151,7 @@
 			cmd, _, pids := startLab(t, path)
 			sendSignal(t, cmd, signal)
 			_ = cmd.Wait()
-			if signal != syscall.SIGKILL && cmd.ProcessState.ExitCode() != exitUse {
+			if signal != syscall.SIGKILL && cmd.ProcessState.ExitCode() != exitUsage {
 				t.Errorf("it ended with %v", cmd.ProcessState)
 			}
 			requireEnded(t, pids)
@@ -189,7 +189,7 @@
 	dir := filepath.Join(t.TempDir(), "report")
 	var out, said bytes.Buffer
 	code := run(t.Context(), []string{"lab", "compare", sidecarProcess, sidecarProcess, "--scenario", path, "--plays", "2", "--report", dir}, &out, &said)
-	if code != exitGood || !strings.Contains(out.String(), "2 plays each, seeds 1 to 2") || !strings.Contains(said.String(), "play 2 of 2") {
+	if code != exitOK || !strings.Contains(out.String(), "2 plays each, seeds 1 to 2") || !strings.Contains(said.String(), "play 2 of 2") {
 		t.Errorf("it ended with %d\nout: %s\nerr: %s", code, out.String(), said.String())
 	}
 	if _, err := os.Stat(filepath.Join(dir, "compare.json")); err != nil {
@@ -213,14 +213,14 @@
 
 func TestLabFleetLoad(t *testing.T) {
 	var out, errOut bytes.Buffer
-	if code := run(t.Context(), []string{"lab", "crowd", "--callers", "5", "--capacity", "4000", "--length", "5s", "--json"}, &out, &errOut); code != exitGood {
+	if code := run(t.Context(), []string{"lab", "crowd", "--callers", "5", "--capacity", "4000", "--length", "5s", "--json"}, &out, &errOut); code != exitOK {
 		t.Fatalf("exit %d: %s", code, errOut.String())
 	}
 	var rows []fleetLoadRow
 	if err := json.Unmarshal(out.Bytes(), &rows); err != nil || len(rows) != 2 || rows[0].HaveList != 5 {
 		t.Errorf("%v: %s", err, out.String())
 	}
-	if code := run(t.Context(), []string{"lab", "crowd", "--capacity", "0"}, &out, &errOut); code != exitUse {
+	if code := run(t.Context(), []string{"lab", "crowd", "--capacity", "0"}, &out, &errOut); code != exitUsage {
 		t.Errorf("no capacity: exit %d", code)
 	}
 }
--- a/cmd/marblelane/members.go
+++ b/cmd/marblelane/members.go
@@ -28,10 +28,10 @@
 	if err := view.CheckAddr(m.Addr); err != nil {
 		return nil, fmt.Errorf("ADDR %w", err)
 	}
-	return clientFor(m.Wait)
+	return newViewClient(m.Wait)
 }
 
-func clientFor(wait time.Duration) (*view.Client, error) {
+func newViewClient(wait time.Duration) (*view.Client, error) {
 	if wait <= 0 {
 		return nil, fmt.Errorf("--wait %v: is not above 0", wait)
 	}
--- a/cmd/marblelane/members_diff.go
+++ b/cmd/marblelane/members_diff.go
@@ -30,7 +30,7 @@
 }
 
 func (c *membersDiff) Run(a *app) error {
-	client, err := c.check()
+	client, err := c.validate()
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 	if err := a.ctx.Err(); err != nil {
 		return fmt.Errorf("diff: %w", err)
 	}
-	d, err := diffOf(observations)
+	d, err := newViewDiff(observations)
 	if err != nil {
 		return err
 	}
@@ -49,12 +49,12 @@
 	case !d.InAgreement:
 		return exitError(exitFail)
 	case len(d.Unobserved) > 0:
-		return exitError(exitUse)
+		return exitError(exitUsage)
 	}
 	return nil
 }
 
-func (c *membersDiff) check() (*view.Client, error) {
+func (c *membersDiff) validate() (*view.Client, error) {
 	if len(c.Addrs) < 2 {
 		return nil, errors.New("ADDR: two at least are compared")
 	}
@@ -72,15 +72,15 @@
 	if c.Apart < 0 {
 		return nil, fmt.Errorf("--apart %v: is negative", c.Apart)
 	}
-	client, err := clientFor(c.Wait)
+	client, err := newViewClient(c.Wait)
 	if err == nil {
 		client.MaxParallel = c.MaxParallel
 	}
 	return client, err
 }
 
-// diffOf compares what was said. Processes of several fleets cannot be compared.
-func diffOf(observations []view.Observation) (*viewDiff, error) {
+// newViewDiff compares what was said. Processes of several fleets cannot be compared.
+func newViewDiff(observations []view.Observation) (*viewDiff, error) {
 	d := &viewDiff{Digests: map[string]string{}, Unobserved: map[string]string{}, Differences: view.Diff(observations)}
 	var first *view.Observation
 	for i := range observations {
@@ -114,7 +114,7 @@
 		for _, s := range x.Views {
 			since := "-"
 			if s.SinceMS >= 0 {
-				since = "for " + forText(s.SinceMS)
+				since = "for " + durationText(s.SinceMS)
 			}
 			fmt.Fprintf(t, "  %s\t%s\t%s\t%s\n", s.Addr, s.State, since, s.Proof)
 		}
@@ -143,9 +143,9 @@
 func stageText(x view.Difference) string {
 	switch x.Stage {
 	case view.Persistent:
-		return "they differ lastingly, for " + forText(x.ForMS)
+		return "they differ lastingly, for " + durationText(x.ForMS)
 	case view.Emerging:
-		return "they differ, as news is on its way, for " + forText(x.ForMS)
+		return "they differ, as news is on its way, for " + durationText(x.ForMS)
 	}
 	return "they differed, and agree by now"
 }
--- a/cmd/marblelane/members_gone.go
+++ b/cmd/marblelane/members_gone.go
@@ -24,25 +24,25 @@
 	}
 	id := roster.ID{Name: c.Name, Start: c.Start}
 	var starts []string
-	at := -1
+	index := -1
 	for i, m := range r.Members {
 		if m.Name == c.Name {
 			starts = append(starts, strconv.FormatInt(m.Start, 10))
 			if m.Start == c.Start {
-				at = i
+				index = i
 			}
 		}
 	}
 	switch {
 	case len(starts) == 0:
 		return fmt.Errorf("NAME %s: %s knows no process of this name", c.Name, c.Addr)
-	case at < 0:
+	case index < 0:
 		return fmt.Errorf("START %d: %s knows of %s the starts %s", c.Start, c.Addr, c.Name, strings.Join(starts, ", "))
-	case r.Members[at].State == membership.Removed:
-		fmt.Fprintf(a.out, "%s is known to be gone already (%s)\n", idText(id), orDash(r.Members[at].Proof))
+	case r.Members[index].State == membership.Removed:
+		fmt.Fprintf(a.out, "%s is known to be gone already (%s)\n", idText(id), orDash(r.Members[index].Proof))
 		return nil
-	case r.Members[at].State != membership.Unreachable && !c.Yes:
-		return fmt.Errorf("--yes: %s is %s at %s; it is needed for all but silent ones", idText(id), r.Members[at].State,
+	case r.Members[index].State != membership.Unreachable && !c.Yes:
+		return fmt.Errorf("--yes: %s is %s at %s; it is needed for all but silent ones", idText(id), r.Members[index].State,
 			c.Addr)
 	}
 	if err := client.ConfirmGone(a.ctx, c.Addr, id); err != nil {
--- a/cmd/marblelane/members_list.go
+++ b/cmd/marblelane/members_list.go
@@ -35,7 +35,7 @@
 	for _, m := range r.Members {
 		lastAlive := "never"
 		if m.LastAliveMS >= 0 {
-			lastAlive = forText(m.LastAliveMS) + " ago"
+			lastAlive = durationText(m.LastAliveMS) + " ago"
 		}
 		var notes []string
 		if m.Proof != "" {
@@ -44,7 +44,7 @@
 		if m.Duplicate {
 			notes = append(notes, "twin")
 		}
-		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Start, m.State, forText(m.SinceMS), lastAlive,
+		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Start, m.State, durationText(m.SinceMS), lastAlive,
 			orDash(m.Role), orDash(m.Zone), orDash(m.Version), orDash(m.Addr), orDash(strings.Join(notes, ", ")))
 	}
 	_ = t.Flush() // its writer is not given errors by commands
--- a/cmd/marblelane/members_test.go
+++ b/cmd/marblelane/members_test.go
@@ -127,7 +127,7 @@
 		p := newFleetProcess(t, c.report)
 		words := strings.Fields(c.says)
 		args := append([]string{"members", words[0], p.addr}, words[1:]...)
-		require.Equal(t, exitGood, run(t.Context(), args, io.Discard, io.Discard))
+		require.Equal(t, exitOK, run(t.Context(), args, io.Discard, io.Discard))
 		assert.Equal(t, c.call, p.calls())
 	}
 }
@@ -146,7 +146,7 @@
 		}), io.Discard)
 	}()
 	<-ended
-	assert.Equal(t, exitGood, <-code)
+	assert.Equal(t, exitOK, <-code)
 	assert.True(t, json.Valid(out.Bytes()), out.String())
 }
 
--- a/cmd/marblelane/members_text.go
+++ b/cmd/marblelane/members_text.go
@@ -22,8 +22,8 @@
 	return fmt.Sprintf("%d known, %d heard, %s", r.View.Known, r.View.Reachable, admitted)
 }
 
-// forText is a time in milliseconds as it is read.
-func forText(ms int64) string {
+// durationText is a time in milliseconds as it is read.
+func durationText(ms int64) string {
 	d := time.Duration(ms) * time.Millisecond
 	if d >= time.Minute {
 		d = d.Round(time.Second)
--- a/cmd/marblelane/members_watch.go
+++ b/cmd/marblelane/members_watch.go
@@ -31,8 +31,8 @@
 		err := printChanges(a.out, last, r)
 		last = r
 		return err
-	}, func(err error, again time.Duration) {
-		fmt.Fprintf(a.errOut, "ADDR %s: %v; asking again in %v\n", c.Addr, err, again.Round(time.Millisecond))
+	}, func(err error, delay time.Duration) {
+		fmt.Fprintf(a.errOut, "ADDR %s: %v; asking again in %v\n", c.Addr, err, delay.Round(time.Millisecond))
 	})
 	return c.withAddr(err)
 }
--- a/cmd/marblelane/register.go
+++ b/cmd/marblelane/register.go
@@ -51,27 +51,27 @@
 	if err := server.Start(); err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- server.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- server.Wait() }()
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
-	left := make(chan error, 1)
-	go func() { left <- registration.Run(ctx) }()
+	deregistered := make(chan error, 1)
+	go func() { deregistered <- registration.Run(ctx) }()
 	select {
-	case err := <-ended: // the server has ended: there is nothing to drain
+	case err := <-exited: // the server has ended: there is nothing to drain
 		registration.ServerExited()
 		cancel()
-		return errors.Join(<-left, exitOf(err))
-	case err := <-left:
-		if kill := server.Process.Signal(syscall.SIGTERM); kill != nil && !errors.Is(kill, os.ErrProcessDone) {
-			err = errors.Join(err, kill)
+		return errors.Join(<-deregistered, serverError(err))
+	case err := <-deregistered:
+		if signalErr := server.Process.Signal(syscall.SIGTERM); signalErr != nil && !errors.Is(signalErr, os.ErrProcessDone) {
+			err = errors.Join(err, signalErr)
 		}
-		return errors.Join(err, exitOf(<-ended))
+		return errors.Join(err, serverError(<-exited))
 	}
 }
 
-// exitOf is how the server ended; at SIGTERM it may end by the signal.
-func exitOf(err error) error {
+// serverError is how the server ended; at SIGTERM it may end by the signal.
+func serverError(err error) error {
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
 		if s, ok := exit.Sys().(syscall.WaitStatus); ok && s.Signaled() && s.Signal() == syscall.SIGTERM {
--- a/cmd/marblelane/registry_add_copy.go
+++ b/cmd/marblelane/registry_add_copy.go
@@ -10,7 +10,7 @@
 
 // registryAddCopy makes a copy a member of the cluster.
 type registryAddCopy struct {
-	registryCopy
+	replicaClient
 	Name  string `arg:"" help:"The copy's name."`
 	Raft  string `arg:"" help:"HOST:PORT where it talks to the other copies."`
 	Serve string `arg:"" help:"HOST:PORT where it serves."`
@@ -21,5 +21,5 @@
 	if err != nil {
 		return fmt.Errorf("add-copy: %w", err)
 	}
-	return c.printAnswer(a, "POST", "/registry/copies/"+url.PathEscape(c.Name), body)
+	return c.printResponse(a, "POST", "/registry/copies/"+url.PathEscape(c.Name), body)
 }
--- a/cmd/marblelane/registry_client.go
+++ b/cmd/marblelane/registry_client.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// registryCopy is the copy to query.
-type registryCopy struct {
+// replicaClient is the copy to query.
+type replicaClient struct {
 	Addr string        `help:"Address of a copy." default:"127.0.0.1:8500" placeholder:"HOST:PORT"`
 	Wait time.Duration `help:"How long an answer may take." default:"10s"`
 }
 
 // call asks the copy and gives the body of a good answer.
-func (r *registryCopy) call(a *app, method, path string, body []byte) (io.ReadCloser, error) {
+func (r *replicaClient) call(a *app, method, path string, body []byte) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(a.ctx, method, "http://"+r.Addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("--addr %s: %w", r.Addr, err)
@@ -35,14 +35,14 @@
 	return resp.Body, nil
 }
 
-// printAnswer asks and prints the answer.
-func (r *registryCopy) printAnswer(a *app, method, path string, body []byte) error {
-	answer, err := r.call(a, method, path, body)
+// printResponse asks and prints the answer.
+func (r *replicaClient) printResponse(a *app, method, path string, body []byte) error {
+	response, err := r.call(a, method, path, body)
 	if err != nil {
 		return err
 	}
-	defer answer.Close()
-	if _, err := io.Copy(a.out, answer); err != nil && a.ctx.Err() == nil {
+	defer response.Close()
+	if _, err := io.Copy(a.out, response); err != nil && a.ctx.Err() == nil {
 		return fmt.Errorf("--addr %s: %w", r.Addr, err)
 	}
 	return nil
--- a/cmd/marblelane/registry_list.go
+++ b/cmd/marblelane/registry_list.go
@@ -1,6 +1,6 @@
 package main
 
 // registryList prints the whole list.
-type registryList struct{ registryCopy }
+type registryList struct{ replicaClient }
 
-func (c *registryList) Run(a *app) error { return c.printAnswer(a, "GET", instancesPath, nil) }
+func (c *registryList) Run(a *app) error { return c.printResponse(a, "GET", instancesPath, nil) }
--- a/cmd/marblelane/registry_put.go
+++ b/cmd/marblelane/registry_put.go
@@ -10,7 +10,7 @@
 
 // registryPut registers a server or changes its entry.
 type registryPut struct {
-	registryCopy
+	replicaClient
 	UID      string        `arg:"" help:"The server's name, its own and lasting."`
 	Endpoint string        `arg:"" help:"HOST:PORT at which it serves."`
 	Zone     string        `help:"Its zone." placeholder:"NAME"`
@@ -28,5 +28,5 @@
 	if err != nil {
 		return fmt.Errorf("put: %w", err)
 	}
-	return c.printAnswer(a, "POST", instancePath(c.UID, "", c.If), body)
+	return c.printResponse(a, "POST", instancePath(c.UID, "", c.If), body)
 }
--- a/cmd/marblelane/registry_remove.go
+++ b/cmd/marblelane/registry_remove.go
@@ -2,11 +2,11 @@
 
 // registryRemove takes a server off the list.
 type registryRemove struct {
-	registryCopy
+	replicaClient
 	UID string `arg:"" help:"The server's name."`
 	If  int64  `help:"Only if its last change has this revision; -1: in any case." default:"-1"`
 }
 
 func (c *registryRemove) Run(a *app) error {
-	return c.printAnswer(a, "DELETE", instancePath(c.UID, "", c.If), nil)
+	return c.printResponse(a, "DELETE", instancePath(c.UID, "", c.If), nil)
 }
--- a/cmd/marblelane/registry_remove_copy.go
+++ b/cmd/marblelane/registry_remove_copy.go
@@ -4,10 +4,10 @@
 
 // registryRemoveCopy takes a copy out of the cluster.
 type registryRemoveCopy struct {
-	registryCopy
+	replicaClient
 	Name string `arg:"" help:"The copy's name."`
 }
 
 func (c *registryRemoveCopy) Run(a *app) error {
-	return c.printAnswer(a, "DELETE", "/registry/copies/"+url.PathEscape(c.Name), nil)
+	return c.printResponse(a, "DELETE", "/registry/copies/"+url.PathEscape(c.Name), nil)
 }
--- a/cmd/marblelane/registry_replace_copy.go
+++ b/cmd/marblelane/registry_replace_copy.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	replaceEvery = 100 * time.Millisecond // between two looks
-	// ackFresh is how lately a copy must have acknowledged something for it to be at work.
-	ackFresh = 2 * time.Second
+	replaceRetryInterval = 100 * time.Millisecond // between two looks
+	// recentAck is how lately a copy must have acknowledged something for it to be at work.
+	recentAck = 2 * time.Second
 )
 
 // registryReplaceCopy puts a copy in another one's place.
 type registryReplaceCopy struct {
-	registryCopy
+	replicaClient
 	Old    string        `arg:"" help:"Name of the copy that goes, or that went and that membership knows to be gone."`
 	New    string        `arg:"" help:"Name of the one that comes; it runs already, started with join."`
 	Raft   string        `arg:"" help:"HOST:PORT where the new one talks to the other copies."`
@@ -45,24 +45,24 @@
 	defer cancel()
 	b := *a
 	b.ctx = ctx
-	r := replacement{registryReplaceCopy: c, a: &b, said: map[string]bool{}}
-	waits := ""
+	r := replacement{registryReplaceCopy: c, a: &b, printed: map[string]bool{}}
+	pending := ""
 	for {
 		done, err := r.step()
 		if done || errors.Is(err, errPermanent) {
 			return r.withProgress(err)
 		}
 		if err != nil && ctx.Err() == nil {
-			waits = err.Error()
-			r.say("waits: " + waits)
+			pending = err.Error()
+			r.printOnce("waits: " + pending)
 		}
 		select {
 		case <-a.ctx.Done():
 			return r.withProgress(fmt.Errorf("%w: ended before it was done, ask again to go on", errPermanent))
 		case <-ctx.Done():
 			return r.withProgress(fmt.Errorf("%w: not done within %v, ask again to go on; it waited for: %s", errPermanent, c.Within,
-				waits))
-		case <-time.After(replaceEvery):
+				pending))
+		case <-time.After(replaceRetryInterval):
 		}
 	}
 }
@@ -70,34 +70,34 @@
 // replacement is a replacement under way.
 type replacement struct {
 	*registryReplaceCopy
-	a      *app
-	target uint64          // what the new copy has to have applied; 0: not looked at yet
-	said   map[string]bool // lines, without their figures
-	learns bool            // the new copy may be one without a vote
-	mute   bool            // ... and has acknowledged nothing to the leader
+	a              *app
+	target         uint64          // what the new copy has to have applied; 0: not looked at yet
+	printed        map[string]bool // lines, without their figures
+	learnerAdded   bool            // the new copy may be one without a vote
+	unacknowledged bool            // ... and has acknowledged nothing to the leader
 }
 
-// say prints a line once, not at each attempt; numbers in it may change meanwhile.
-func (r *replacement) say(line string) {
+// printOnce prints a line once, not at each attempt; numbers in it may change meanwhile.
+func (r *replacement) printOnce(line string) {
 	key := strings.Map(func(c rune) rune {
 		if unicode.IsDigit(c) {
 			return -1
 		}
 		return c
 	}, line)
-	if !r.said[key] {
-		r.said[key] = true
+	if !r.printed[key] {
+		r.printed[key] = true
 		fmt.Fprintln(r.a.out, line)
 	}
 }
 
 // withProgress adds to an error what the replacement has changed so far.
 func (r *replacement) withProgress(err error) error {
-	if err == nil || !r.learns {
+	if err == nil || !r.learnerAdded {
 		return err
 	}
 	mute := ""
-	if r.mute {
+	if r.unacknowledged {
 		mute = fmt.Sprintf(", and has acknowledged nothing at %s", r.Raft)
 	}
 	return fmt.Errorf("%w\n%s stays as a copy without a vote%s; to take it away: "+
@@ -110,98 +110,98 @@
 	if err != nil {
 		return false, err
 	}
-	old, there := findCopy(st.Replicas, r.Old)
-	fresh, known := findCopy(st.Replicas, r.New)
-	r.learns, r.mute = known && !fresh.Votes, fresh.AckMS < 0
+	old, oldFound := findReplica(st.Replicas, r.Old)
+	added, newFound := findReplica(st.Replicas, r.New)
+	r.learnerAdded, r.unacknowledged = newFound && !added.Votes, added.AckMS < 0
 	switch {
-	case known && fresh.Raft != r.Raft:
-		return false, fmt.Errorf("%w: copy %s is at %s, not at %s", errPermanent, r.New, fresh.Raft, r.Raft)
-	case !there && fresh.Votes:
-		return r.replacedBefore(leader)
-	case !there: // it goes last
+	case newFound && added.Raft != r.Raft:
+		return false, fmt.Errorf("%w: copy %s is at %s, not at %s", errPermanent, r.New, added.Raft, r.Raft)
+	case !oldFound && added.Votes:
+		return r.confirmReplaced(leader)
+	case !oldFound: // it goes last
 		return false, fmt.Errorf("%w: %s is no copy", errPermanent, r.Old)
 	}
-	if why := atWork(old); why != "" && !r.Force {
+	if reason := aliveReason(old); reason != "" && !r.Force {
 		if old.Member == membership.Removed { // just now
-			return false, fmt.Errorf("%s to be silent: %s", r.Old, why)
+			return false, fmt.Errorf("%s to be silent: %s", r.Old, reason)
 		}
-		return false, fmt.Errorf("%w: %s is at work, %s; --force replaces it all the same", errPermanent, r.Old, why)
+		return false, fmt.Errorf("%w: %s is at work, %s; --force replaces it all the same", errPermanent, r.Old, reason)
 	}
-	own, err := r.status(r.Serve)
+	newStatus, err := r.status(r.Serve)
 	switch {
 	case err != nil:
 		return false, fmt.Errorf("%s does not run: %w", r.New, err)
-	case own.Name != r.New:
-		return false, fmt.Errorf("%w: at %s answers copy %q, not %s", errPermanent, r.Serve, own.Name, r.New)
+	case newStatus.Name != r.New:
+		return false, fmt.Errorf("%w: at %s answers copy %q, not %s", errPermanent, r.Serve, newStatus.Name, r.New)
 	}
 	switch {
-	case !known:
+	case !newFound:
 		body, err := json.Marshal(listserver.Peer{Raft: r.Raft, Serve: r.Serve})
 		if err != nil {
 			return false, fmt.Errorf("%w: %w", errPermanent, err)
 		}
-		r.say(fmt.Sprintf("%s learns (membership says of %s: %s)", r.New, r.Old, old.Member))
+		r.printOnce(fmt.Sprintf("%s learns (membership says of %s: %s)", r.New, r.Old, old.Member))
 		err = r.post(leader, r.New, "/learn", body)
-		r.learns, r.mute = err == nil || !strings.Contains(err.Error(), " 409 "), true
+		r.learnerAdded, r.unacknowledged = err == nil || !strings.Contains(err.Error(), " 409 "), true
 		return false, err
-	case !fresh.Votes:
+	case !added.Votes:
 		if r.target == 0 {
 			r.target = st.Applied
 		}
-		if own.Applied < r.target || own.Leader == "" {
+		if newStatus.Applied < r.target || newStatus.Leader == "" {
 			return false, fmt.Errorf("%s to catch up with what is committed", r.New)
 		}
-		r.say(r.New + " has caught up and gets its vote")
+		r.printOnce(r.New + " has caught up and gets its vote")
 		return false, r.post(leader, r.New, "/promote", nil)
 	}
-	r.say(r.Old + " goes")
+	r.printOnce(r.Old + " goes")
 	if err := r.post(leader, r.Old, "/retire", nil); err != nil {
 		return false, err
 	}
-	return r.done() // the copy that is queried may be the old one, which knows no leader any more
+	return r.finish() // the copy that is queried may be the old one, which knows no leader any more
 }
 
-func (r *replacement) done() (bool, error) {
+func (r *replacement) finish() (bool, error) {
 	fmt.Fprintf(r.a.out, "%s is in the place of %s\n", r.New, r.Old)
 	return true, nil
 }
 
-// replacedBefore distinguishes a replacement that has been done before from a wrong name. The cluster keeps nothing of a copy that
+// confirmReplaced distinguishes a replacement that has been done before from a wrong name. The cluster keeps nothing of a copy that
 // went; it was one if the leader's membership knows it as a list copy that is not there any more.
-func (r *replacement) replacedBefore(leader string) (bool, error) {
-	at := registryCopy{Addr: leader, Wait: r.Wait}
-	if answer, err := at.call(r.a, "GET", "/members", nil); err == nil {
-		defer answer.Close()
+func (r *replacement) confirmReplaced(leader string) (bool, error) {
+	client := replicaClient{Addr: leader, Wait: r.Wait}
+	if body, err := client.call(r.a, "GET", "/members", nil); err == nil {
+		defer body.Close()
 		var report membership.Report
-		if err := json.NewDecoder(answer).Decode(&report); err != nil {
+		if err := json.NewDecoder(body).Decode(&report); err != nil {
 			return false, fmt.Errorf("%s: members: %w", leader, err)
 		}
-		was := false
+		wasReplica := false
 		for _, m := range report.Members {
 			if m.Name == r.Old && m.Role == "list" {
-				was = m.State == membership.Removed || m.State == membership.Unreachable
+				wasReplica = m.State == membership.Removed || m.State == membership.Unreachable
 			}
 		}
-		if was {
-			return r.done()
+		if wasReplica {
+			return r.finish()
 		}
 	}
 	return false, fmt.Errorf("%w: nothing to do: %s is no copy, nor one that membership knows to have gone, and %s has "+
 		"its vote", errPermanent, r.Old, r.New)
 }
 
-// atWork tells why a copy is taken for alive; empty: it is not.
-func atWork(c listserver.ReplicaStatus) string {
+// aliveReason tells why a copy is taken for alive; empty: it is not.
+func aliveReason(c listserver.ReplicaStatus) string {
 	switch {
 	case c.Member == membership.Alive, c.Member == membership.Suspected:
 		return "membership says " + string(c.Member)
-	case c.AckMS >= 0 && c.AckMS < ackFresh.Milliseconds():
+	case c.AckMS >= 0 && c.AckMS < recentAck.Milliseconds():
 		return fmt.Sprintf("it answered the leader %d ms ago", c.AckMS)
 	}
 	return ""
 }
 
-func findCopy(all []listserver.ReplicaStatus, name string) (listserver.ReplicaStatus, bool) {
+func findReplica(all []listserver.ReplicaStatus, name string) (listserver.ReplicaStatus, bool) {
 	i := slices.IndexFunc(all, func(c listserver.ReplicaStatus) bool { return c.Name == name })
 	if i < 0 {
 		return listserver.ReplicaStatus{}, false
@@ -226,24 +226,24 @@
 }
 
 func (r *replacement) status(addr string) (*listserver.Status, error) {
-	at := registryCopy{Addr: addr, Wait: r.Wait}
-	answer, err := at.call(r.a, "GET", "/registry/status", nil)
+	client := replicaClient{Addr: addr, Wait: r.Wait}
+	body, err := client.call(r.a, "GET", "/registry/status", nil)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Close()
+	defer body.Close()
 	var st listserver.Status
-	if err := json.NewDecoder(answer).Decode(&st); err != nil {
+	if err := json.NewDecoder(body).Decode(&st); err != nil {
 		return nil, fmt.Errorf("%s: status: %w", addr, err)
 	}
 	return &st, nil
 }
 
-func (r *replacement) post(addr, name, what string, body []byte) error {
-	at := registryCopy{Addr: addr, Wait: r.Wait}
-	answer, err := at.call(r.a, "POST", "/registry/copies/"+url.PathEscape(name)+what, body)
+func (r *replacement) post(addr, name, action string, body []byte) error {
+	client := replicaClient{Addr: addr, Wait: r.Wait}
+	response, err := client.call(r.a, "POST", "/registry/copies/"+url.PathEscape(name)+action, body)
 	if err == nil {
-		return answer.Close()
+		return response.Close()
 	}
 	if strings.Contains(err.Error(), " 404 ") {
 		return fmt.Errorf("%w: the leader is of an earlier version: %w", errPermanent, err)
--- a/cmd/marblelane/registry_replace_copy_test.go
+++ b/cmd/marblelane/registry_replace_copy_test.go
@@ -23,8 +23,8 @@
 	"marblelane/internal/registry/listserver"
 )
 
-// realCopy is a copy in a process of its own, with the section members.
-type realCopy struct {
+// replicaProcess is a copy in a process of its own, with the section members.
+type replicaProcess struct {
 	listserver.Peer
 	cmd *exec.Cmd
 }
@@ -42,13 +42,13 @@
 	return out
 }
 
-// startCopies starts some that found a cluster, and one that waits to join it.
-func startCopies(t *testing.T, n int) (all []*realCopy, fresh *realCopy) {
+// startReplicas starts some that found a cluster, and one that waits to join it.
+func startReplicas(t *testing.T, n int) (all []*replicaProcess, fresh *replicaProcess) {
 	t.Helper()
 	at := freeAddrs(t, 3*(n+1))
 	peers := ""
 	for i := range n + 1 {
-		c := &realCopy{Peer: listserver.Peer{Name: fmt.Sprint("r", i), Raft: at[3*i], Serve: at[3*i+1]}}
+		c := &replicaProcess{Peer: listserver.Peer{Name: fmt.Sprint("r", i), Raft: at[3*i], Serve: at[3*i+1]}}
 		all = append(all, c)
 		if i < n {
 			peers += fmt.Sprintf("[[peer]]\nname = %q\nraft = %q\nserve = %q\n", c.Name, c.Raft, c.Serve)
@@ -64,35 +64,35 @@
 			c.Name, c.Serve, c.Raft, t.TempDir(), i == n, how, at[3*i+2], at[2])
 		config := filepath.Join(t.TempDir(), "copy.toml")
 		require.NoError(t, os.WriteFile(config, []byte(text), 0o644))
-		_, c.cmd = startCopy(t, config)
+		_, c.cmd = startReplica(t, config)
 	}
 	return all[:n], all[n]
 }
 
-func (c *realCopy) status(t *testing.T) (st listserver.Status) {
+func (c *replicaProcess) status(t *testing.T) (st listserver.Status) {
 	t.Helper()
 	var out, said bytes.Buffer
-	if run(t.Context(), []string{"registry", "status", "--addr", c.Serve}, &out, &said) == exitGood {
+	if run(t.Context(), []string{"registry", "status", "--addr", c.Serve}, &out, &said) == exitOK {
 		require.NoError(t, json.Unmarshal(out.Bytes(), &st))
 	}
 	return st
 }
 
-func (c *realCopy) stands(t *testing.T, name string) membership.MemberState {
+func (c *replicaProcess) memberState(t *testing.T, name string) membership.MemberState {
 	t.Helper()
-	one, _ := findCopy(c.status(t).Replicas, name)
+	one, _ := findReplica(c.status(t).Replicas, name)
 	return one.Member
 }
 
 func TestReplaceCopy(t *testing.T) {
-	all, fresh := startCopies(t, 3)
+	all, fresh := startReplicas(t, 3)
 	every := append(slices.Clone(all), fresh)
 	t.Cleanup(func() {
 		for _, c := range every {
 			if t.Failed() {
 				var text bytes.Buffer
 				a := &app{ctx: context.Background(), out: &text}
-				_ = (&registryCopy{Addr: c.Serve, Wait: time.Second}).printAnswer(a, "GET", "/members", nil)
+				_ = (&replicaClient{Addr: c.Serve, Wait: time.Second}).printResponse(a, "GET", "/members", nil)
 				t.Logf("%s:\n%s", c.Name, &text)
 			}
 		}
@@ -101,7 +101,7 @@
 		t.Helper()
 		require.Eventually(t, is, 20*time.Second, 10*time.Millisecond, what)
 	}
-	lead := func() (l *realCopy) {
+	lead := func() (l *replicaProcess) {
 		wait("a leader", func() bool {
 			for _, c := range all {
 				if st := c.status(t); st.Leads && st.Rev > 0 {
@@ -117,7 +117,7 @@
 	if old == l {
 		old, left = left, old
 	}
-	replace := func(want int, part string, c *realCopy, more ...string) {
+	replace := func(want int, part string, c *replicaProcess, more ...string) {
 		t.Helper()
 		var out, said bytes.Buffer
 		args := append([]string{"registry", "replace-copy", "--addr", l.Serve, old.Name, c.Name, c.Raft, c.Serve}, more...)
@@ -126,18 +126,18 @@
 		require.Contains(t, out.String()+said.String(), part)
 	}
 	wait("all of them", func() bool {
-		return l.stands(t, old.Name) == membership.Alive && l.stands(t, left.Name) == membership.Alive
+		return l.memberState(t, old.Name) == membership.Alive && l.memberState(t, left.Name) == membership.Alive
 	})
-	replace(exitUse, "is at work, membership says alive", fresh)
+	replace(exitUsage, "is at work, membership says alive", fresh)
 	require.Len(t, l.status(t).Replicas, 3, "nothing was begun")
 	// Frozen it is silent, which is no proof; killed its address refuses.
 	require.NoError(t, old.cmd.Process.Signal(syscall.SIGSTOP))
-	wait("its silence", func() bool { return l.stands(t, old.Name) == membership.Unreachable })
+	wait("its silence", func() bool { return l.memberState(t, old.Name) == membership.Unreachable })
 	require.NoError(t, old.cmd.Process.Kill())
-	wait("its end", func() bool { return l.stands(t, old.Name) == membership.Removed })
+	wait("its end", func() bool { return l.memberState(t, old.Name) == membership.Removed })
 	// One that does not run is not waited for with the cluster at risk: it never gets to vote.
-	notRunning := &realCopy{Peer: listserver.Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "127.0.0.1:1"}}
-	replace(exitUse, "r9 does not run", notRunning, "--within", "4s")
+	notRunning := &replicaProcess{Peer: listserver.Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "127.0.0.1:1"}}
+	replace(exitUsage, "r9 does not run", notRunning, "--within", "4s")
 	require.Len(t, l.status(t).Replicas, 3)
 	// Ended half-way, and run again.
 	ctx, cancel := context.WithCancel(t.Context())
@@ -147,28 +147,28 @@
 		args := []string{"registry", "replace-copy", "--addr", l.Serve, old.Name, fresh.Name, fresh.Raft, fresh.Serve}
 		ended <- run(ctx, args, &out, &said)
 	}()
-	wait("the first step", func() bool { _, started := findCopy(l.status(t).Replicas, fresh.Name); return started })
+	wait("the first step", func() bool { _, started := findReplica(l.status(t).Replicas, fresh.Name); return started })
 	cancel()
 	<-ended
 	done := fmt.Sprintf("%s is in the place of %s\n", fresh.Name, old.Name)
-	replace(exitGood, done, fresh)
-	replace(exitGood, done, fresh)
+	replace(exitOK, done, fresh)
+	replace(exitOK, done, fresh)
 	st := l.status(t)
 	require.Len(t, st.Replicas, 3)
 	for _, c := range st.Replicas {
 		require.True(t, c.Votes, c.Name)
 	}
-	_, there := findCopy(st.Replicas, old.Name)
+	_, there := findReplica(st.Replicas, old.Name)
 	require.False(t, there)
 	put := []string{"registry", "put", "s-1", "127.0.0.1:81", "--addr", fresh.Serve}
-	require.Equal(t, exitGood, run(t.Context(), put, &out, &said))
+	require.Equal(t, exitOK, run(t.Context(), put, &out, &said))
 	old = l
-	replace(exitUse, "is at work", notRunning) // the leader itself
+	replace(exitUsage, "is at work", notRunning) // the leader itself
 }
 
 // What is wrong is found before anything is changed, or is said with what stays of it.
 func TestReplaceCopy_invalid(t *testing.T) {
-	all, fresh := startCopies(t, 3)
+	all, fresh := startReplicas(t, 3)
 	at := all[0].Serve
 	require.Eventually(t, func() bool {
 		st := all[0].status(t)
@@ -179,7 +179,7 @@
 		t.Helper()
 		var out, said bytes.Buffer
 		args := append([]string{"registry", "replace-copy", "--addr", at, old, c.Name, c.Raft, c.Serve, "--force"}, more...)
-		require.Equal(t, exitUse, run(t.Context(), args, &out, &said), "%s%s", &out, &said)
+		require.Equal(t, exitUsage, run(t.Context(), args, &out, &said), "%s%s", &out, &said)
 		return out.String() + said.String()
 	}
 	require.Contains(t, replace("typo", all[1].Peer), "nothing to do: typo is no copy")
@@ -207,6 +207,6 @@
 	}
 	_, command, _ := strings.Cut(strings.TrimSpace(text), "to take it away: marblelane ")
 	var out, said bytes.Buffer
-	require.Equal(t, exitGood, run(t.Context(), strings.Fields(command), &out, &said), "%s%s", &out, &said)
+	require.Equal(t, exitOK, run(t.Context(), strings.Fields(command), &out, &said), "%s%s", &out, &said)
 	require.Eventually(t, func() bool { return len(all[0].status(t).Replicas) == 3 }, 20*time.Second, 10*time.Millisecond)
 }
--- a/cmd/marblelane/registry_restore.go
+++ b/cmd/marblelane/registry_restore.go
@@ -19,7 +19,7 @@
 }
 
 // restoreProbeTimeout is how long each of the configuration's copies may take to show that it runs.
-const oldCopyTimeout = time.Second
+const restoreProbeTimeout = time.Second
 
 func (c *registryRestore) Run(a *app) error {
 	cfg, err := registry.LoadConfig(c.Config)
@@ -34,15 +34,15 @@
 		return fmt.Errorf("restore: %w", err)
 	}
 	defer f.Close()
-	if alive := recovery.RunningReplicas(cfg.Endpoints(), oldCopyTimeout); len(alive) > 0 && !c.Force {
+	if running := recovery.RunningReplicas(cfg.Endpoints(), restoreProbeTimeout); len(running) > 0 && !c.Force {
 		return fmt.Errorf("restore: %s still answers; end the old cluster first, or it may take the new one over; "+
-			"--force restores all the same", strings.Join(alive, ", "))
+			"--force restores all the same", strings.Join(running, ", "))
 	}
-	out, err := recovery.Restore(f, cfg.RecoveryTarget(), c.Above, cfg.Faults.Now())
+	restored, err := recovery.Restore(f, cfg.RecoveryTarget(), c.Above, cfg.Faults.Now())
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(a.out, "%d entries of revision %d are epoch %d in %s\n"+
-		"start %s, then the others with empty folders and join = true, and add-copy each\n", out.Entries, out.BackupRev, out.Epoch, cfg.Dir, cfg.Name)
+		"start %s, then the others with empty folders and join = true, and add-copy each\n", restored.Entries, restored.BackupRev, restored.Epoch, cfg.Dir, cfg.Name)
 	return nil
 }
--- a/cmd/marblelane/registry_snapshot.go
+++ b/cmd/marblelane/registry_snapshot.go
@@ -11,7 +11,7 @@
 
 // registrySnapshot writes the whole state to a file.
 type registrySnapshot struct {
-	registryCopy
+	replicaClient
 	File string `arg:"" help:"File to write; it must not be there yet." type:"path"`
 }
 
@@ -19,12 +19,12 @@
 	if _, err := os.Stat(c.File); !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("%s: is there already; name a file that is not", c.File)
 	}
-	answer, err := c.call(a, "GET", "/registry/snapshot", nil)
+	response, err := c.call(a, "GET", "/registry/snapshot", nil)
 	if err != nil {
 		return err
 	}
-	defer answer.Close()
-	data, err := io.ReadAll(answer)
+	defer response.Close()
+	data, err := io.ReadAll(response)
 	if err != nil {
 		return fmt.Errorf("--addr %s: %w", c.Addr, err)
 	}
--- a/cmd/marblelane/registry_state_test.go
+++ b/cmd/marblelane/registry_state_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	require.Eventually(t, func() bool {
 		code, _, _ := execute(t, "registry", "put", "s-1", "127.0.0.1:81", "--addr", addr)
-		return code == exitGood
+		return code == exitOK
 	}, 20*time.Second, 10*time.Millisecond)
 }
 
@@ -41,20 +41,20 @@
 	var status listserver.Status
 	require.Eventually(t, func() bool {
 		code, out, _ := execute(t, "registry", "status", "--addr", addr)
-		return code == exitGood && json.Unmarshal([]byte(out), &status) == nil && status.Leads && status.Rev > 0
+		return code == exitOK && json.Unmarshal([]byte(out), &status) == nil && status.Leads && status.Rev > 0
 	}, 20*time.Second, 10*time.Millisecond)
 	return state.EpochOf(status.Rev)
 }
 
 func TestRegistryVerify_killedCopy(t *testing.T) {
 	data := filepath.Join(t.TempDir(), "data")
-	addr, copyProcess := startCopy(t, writeConfig(t, "127.0.0.1:0", "127.0.0.1:0", data))
+	addr, copyProcess := startReplica(t, writeConfig(t, "127.0.0.1:0", "127.0.0.1:0", data))
 	putEntry(t, addr)
 	require.NoError(t, copyProcess.Process.Kill())
 	_ = copyProcess.Wait()
 
 	code, out, errOut := execute(t, "registry", "verify", data)
-	require.Equal(t, exitGood, code, out+errOut)
+	require.Equal(t, exitOK, code, out+errOut)
 	assert.Regexp(t, `^log: \d+ entries(.|\n)*revision \d+ of epoch \d+(.|\n)*\nsound\n$`, out)
 	assert.Empty(t, errOut)
 
@@ -76,43 +76,43 @@
 func TestRegistryVerify_unreadable(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none")
 	code, out, errOut := execute(t, "registry", "verify", missing)
-	assert.Equal(t, exitUse, code)
+	assert.Equal(t, exitUsage, code)
 	assert.Empty(t, out)
 	assert.Contains(t, errOut, "verify: stat "+missing+": no such file or directory")
 
 	file := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(file, nil, 0o644))
 	code, out, errOut = execute(t, "registry", "verify", file)
-	assert.Equal(t, exitUse, code, out)
+	assert.Equal(t, exitUsage, code, out)
 	assert.Contains(t, errOut, file)
 }
 
 func TestRegistryRestore_fromSnapshot(t *testing.T) {
 	dir, at := t.TempDir(), freeAddrs(t, 2)
 	backup := filepath.Join(dir, "backup.json")
-	addr, oldCopy := startCopy(t, writeConfig(t, at[0], at[1], filepath.Join(dir, "old")))
+	addr, oldCopy := startReplica(t, writeConfig(t, at[0], at[1], filepath.Join(dir, "old")))
 	putEntry(t, addr)
 	before := epochAt(t, addr)
 	code, _, errOut := execute(t, "registry", "snapshot", backup, "--addr", addr)
-	require.Equal(t, exitGood, code, errOut)
+	require.Equal(t, exitOK, code, errOut)
 
 	fresh := filepath.Join(dir, "fresh")
 	config := writeConfig(t, at[0], at[1], fresh)
 	code, _, errOut = execute(t, "registry", "restore", backup, "--config", config)
-	assert.Equal(t, exitUse, code)
+	assert.Equal(t, exitUsage, code)
 	assert.Contains(t, errOut, "restore: one at "+at[0]+" still answers; end the old cluster first")
 	assert.NoDirExists(t, fresh, "a refused restore writes nothing")
 
 	require.NoError(t, oldCopy.Process.Kill())
 	_ = oldCopy.Wait()
 	code, out, errOut := execute(t, "registry", "restore", backup, "--config", config)
-	require.Equal(t, exitGood, code, errOut)
+	require.Equal(t, exitOK, code, errOut)
 	assert.Contains(t, out, "1 entries of revision ")
 	assert.Contains(t, out, "start one, then the others")
-	addr, _ = startCopy(t, config)
+	addr, _ = startReplica(t, config)
 	assert.Greater(t, epochAt(t, addr), before)
 	code, out, errOut = execute(t, "registry", "list", "--addr", addr)
-	require.Equal(t, exitGood, code, errOut)
+	require.Equal(t, exitOK, code, errOut)
 	assert.Contains(t, out, `"uid":"s-1","endpoint":"127.0.0.1:81"`)
 }
 
@@ -124,14 +124,14 @@
 		`"endpoint":"127.0.0.1:1",`+
 		`"state":"Ready"},"changed":268435457}],"members":{"old":"127.0.0.1:2"}}`), 0o644))
 	code, out, errOut := execute(t, "registry", "restore", backup, "--config", config)
-	require.Equal(t, exitGood, code, errOut)
+	require.Equal(t, exitOK, code, errOut)
 	assert.Contains(t, out, "1 entries of revision 268435457 are epoch ")
 	code, _, errOut = execute(t, "registry", "restore", backup, "--config", config)
-	assert.Equal(t, exitUse, code)
+	assert.Equal(t, exitUsage, code)
 	assert.Contains(t, errOut, "already has state")
 
 	code, out, _ = execute(t, "registry", "verify", data)
-	require.Equal(t, exitGood, code, out)
+	require.Equal(t, exitOK, code, out)
 	assert.Regexp(t, `log: 0 entries, index 0 to 0(.|\n)*snapshot (.|\n)*revision \d+ of epoch \d+(.|\n)*sound\n$`, out)
 	require.NoError(t, os.Truncate(filepath.Join(data, "raft.db"), 12_000))
 	code, out, errOut = execute(t, "registry", "verify", data)
--- a/cmd/marblelane/registry_test.go
+++ b/cmd/marblelane/registry_test.go
@@ -22,8 +22,8 @@
 	"marblelane/internal/registry/state"
 )
 
-// startCopy starts a real copy with a configuration and gives where it serves.
-func startCopy(t *testing.T, config string) (string, *exec.Cmd) {
+// startReplica starts a real copy with a configuration and gives where it serves.
+func startReplica(t *testing.T, config string) (string, *exec.Cmd) {
 	t.Helper()
 	cmd := marblelane("registry", "serve", "--config", config)
 	return valueOf(startUntil(t, cmd, cmd.StdoutPipe, " listen="), " listen="), cmd
@@ -42,7 +42,7 @@
 	if err := os.WriteFile(config, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	addr, cmd := startCopy(t, config)
+	addr, cmd := startReplica(t, config)
 	do := func(want int, part string, args ...string) string {
 		t.Helper()
 		var out, said bytes.Buffer
@@ -72,7 +72,7 @@
 	// Killed and started again it has what was written.
 	sendSignal(t, cmd, syscall.SIGKILL)
 	_ = cmd.Wait()
-	addr, cmd = startCopy(t, config)
+	addr, cmd = startReplica(t, config)
 	require.Eventually(t, func() bool {
 		var out, said bytes.Buffer
 		run(t.Context(), []string{"registry", "list", "--addr", addr}, &out, &said)
@@ -100,7 +100,7 @@
 	text := fmt.Sprintf("name = \"one\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\ndir = %q\nbeat = \"50ms\"\nlab_faults = %q\n",
 		filepath.Join(dir, "data"), faults)
 	require.NoError(t, os.WriteFile(config, []byte(text), 0o644))
-	addr, cmd := startCopy(t, config)
+	addr, cmd := startReplica(t, config)
 	do := func(args ...string) (code int, out string) {
 		var said bytes.Buffer
 		code = run(t.Context(), append([]string{"registry"}, append(args, "--addr", addr)...), &said, &said)
@@ -156,7 +156,7 @@
 				t.Fatal(err)
 			}
 			var out, said bytes.Buffer
-			if code := run(t.Context(), []string{"registry", "serve", "--config", path}, &out, &said); code != exitUse || !strings.Contains(said.String(), c.says) {
+			if code := run(t.Context(), []string{"registry", "serve", "--config", path}, &out, &said); code != exitUsage || !strings.Contains(said.String(), c.says) {
 				t.Errorf("it ends with %d: %s", code, said.String())
 			}
 		})
@@ -171,7 +171,7 @@
 	if err := os.WriteFile(config, []byte("name = \"one\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\nbeat = \"50ms\"\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	addr, _ := startCopy(t, config)
+	addr, _ := startReplica(t, config)
 	sidecar := filepath.Join(dir, "sidecar.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","management":"127.0.0.1:0","discovery":%q,"seed":"1",
 		"limits":{"cores":1,"memory_mb":128,"sockets":512},"known":{"rev":0,"all":true,"targets":[]},
@@ -231,7 +231,7 @@
 			config, faults := filepath.Join(dir, "one.toml"), filepath.Join(dir, "faults.toml")
 			text := "name = \"one\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\nbeat = \"50ms\"\n"
 			require.NoError(t, os.WriteFile(config, []byte(text), 0o644))
-			addr, _ := startCopy(t, config)
+			addr, _ := startReplica(t, config)
 			register := func(own ...string) *exec.Cmd {
 				args := append([]string{"register", "--copy", addr, "--uid", "s-1", "--endpoint", "127.0.0.1:9",
 					"--drain", "1m"}, own...)
--- a/cmd/marblelane/registry_verify.go
+++ b/cmd/marblelane/registry_verify.go
@@ -13,14 +13,14 @@
 
 // Run reads the folder and changes nothing; it ends with 1 where a copy must not start from it.
 func (c *registryVerify) Run(a *app) error {
-	found, err := recovery.Verify(c.Dir)
+	report, err := recovery.Verify(c.Dir)
 	if err != nil {
 		return fmt.Errorf("verify: %w", err)
 	}
-	if err := found.Print(a.out); err != nil {
+	if err := report.Print(a.out); err != nil {
 		return fmt.Errorf("verify: %w", err)
 	}
-	if !found.Sound() {
+	if !report.Sound() {
 		return exitError(exitFail)
 	}
 	return nil
--- a/cmd/marblelane/registry_watch.go
+++ b/cmd/marblelane/registry_watch.go
@@ -4,10 +4,10 @@
 
 // registryWatch prints each change of the list.
 type registryWatch struct {
-	registryCopy
+	replicaClient
 	After int64 `help:"Revision after which changes are wanted; -1: begin with the whole list." default:"-1"`
 }
 
 func (c *registryWatch) Run(a *app) error {
-	return c.printAnswer(a, "GET", fmt.Sprintf("%s?watch=1&after=%d", instancesPath, c.After), nil)
+	return c.printResponse(a, "GET", fmt.Sprintf("%s?watch=1&after=%d", instancesPath, c.After), nil)
 }
--- a/cmd/marblelane/state_show.go
+++ b/cmd/marblelane/state_show.go
@@ -15,18 +15,18 @@
 	if err != nil {
 		return err
 	}
-	var end error
+	var outcome error
 	var newest *snapshot.Finding
 	for i, f := range list {
 		if f.Err != nil {
 			fmt.Fprintln(a.errOut, findingText(f))
-			end = exitError(exitFail)
+			outcome = exitError(exitFail)
 		} else if newest == nil || f.State.Seq > newest.State.Seq {
 			newest = &list[i]
 		}
 	}
 	if newest == nil {
-		return end
+		return outcome
 	}
 	s := newest.State
 	out := json.NewEncoder(a.out)
@@ -35,5 +35,5 @@
 		"identity": s.Identity, "learned": s.Learned, "list": s.List}); err != nil {
 		return fmt.Errorf("state show: %w", err)
 	}
-	return end
+	return outcome
 }
--- a/cmd/marblelane/state_verify.go
+++ b/cmd/marblelane/state_verify.go
@@ -13,11 +13,11 @@
 	if err != nil {
 		return err
 	}
-	var end error
+	var outcome error
 	for _, f := range list {
 		if f.Err != nil {
 			fmt.Fprintln(a.out, findingText(f))
-			end = exitError(exitFail)
+			outcome = exitError(exitFail)
 			continue
 		}
 		s := f.State
@@ -26,5 +26,5 @@
 			s.Identity.Site, s.Identity.Name, s.Identity.Settings, s.Identity.Program)
 		fmt.Fprintf(a.out, " servers=%d list_rev=%d listed=%d\n", len(s.Learned.Servers), s.List.Rev, len(s.List.Servers))
 	}
-	return end
+	return outcome
 }
