--- a/cmd/marblelane/help_test.go
+++ b/cmd/marblelane/help_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The help of each command, argument and flag is sentences, and a flag without a default has a placeholder.
+// The help of each command, argument and flag consists of full sentences. A flag without a default has a placeholder.
 func TestHelp_oneForm(t *testing.T) {
 	parser, err := kong.New(&cli{}, kong.Name("marblelane"))
 	require.NoError(t, err)
--- a/cmd/marblelane/lab_check.go
+++ b/cmd/marblelane/lab_check.go
@@ -10,7 +10,7 @@
 // labCheck prints the schedule of a scenario.
 type labCheck struct {
 	Scenario string `arg:"" help:"Name of a scenario (see list), or a file that ends in .toml."`
-	Seed     uint64 `help:"Seed of all that is drawn; 0: the scenario's." default:"0"`
+	Seed     uint64 `help:"Seed of all random choices; 0 uses the scenario's." default:"0"`
 	Schedule bool   `help:"Print the whole schedule: fleet, faults and every arrival."`
 }
 
--- a/cmd/marblelane/lab_compare.go
+++ b/cmd/marblelane/lab_compare.go
@@ -9,21 +9,21 @@
 	"marblelane/internal/lab/harness"
 )
 
-// labCompare plays two programs or two scenarios on the same seeds.
+// labCompare runs two programs or two scenarios with the same seeds.
 type labCompare struct {
 	sidecarProgram
-	A        string `arg:"" help:"A scenario (name, or file that ends in .toml), or a sidecar's program."`
-	B        string `arg:"" help:"What it is compared with, of the same sort."`
-	Scenario string `help:"The scenario that two programs play." default:"quickstart"`
-	Plays    int    `help:"Plays of each side." default:"5"`
-	Seed     uint64 `help:"Seed of the first pair; the others follow." default:"1"`
+	A        string `arg:"" help:"Scenario (a name, or a file that ends in .toml) or sidecar program."`
+	B        string `arg:"" help:"Scenario or sidecar program to compare it with, of the same type as A."`
+	Scenario string `help:"Scenario to run when two programs are compared." default:"quickstart"`
+	Plays    int    `help:"Runs of each side." default:"5"`
+	Seed     uint64 `help:"Seed of the first pair; each later pair uses the next seed." default:"1"`
 	Report   string `help:"Folder for compare.json and its plots." type:"path" placeholder:"DIR"`
-	JSON     bool   `help:"Print JSON in place of the table." name:"json"`
+	JSON     bool   `help:"Print JSON instead of the table." name:"json"`
 }
 
 func (c *labCompare) Run(a *app) error {
 	if c.Plays < 1 || c.Seed < 1 {
-		return errors.New("--plays and --seed are at least 1")
+		return errors.New("--plays and --seed must be at least 1")
 	}
 	sides, done, err := c.sides(a)
 	if err != nil {
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// sides reads what the two arguments mean.
+// sides resolves the two arguments. If both are executables they are programs, else scenarios.
+// done removes a program that was built.
 func (c *labCompare) sides(a *app) (sides [2]compare.Side, done func(), err error) {
 	done = func() {}
 	if executable(c.A) == nil && executable(c.B) == nil {
--- a/cmd/marblelane/lab_crowd.go
+++ b/cmd/marblelane/lab_crowd.go
@@ -8,19 +8,19 @@
 	"marblelane/internal/lab/crowd"
 )
 
-// labFleetLoad measures a list service of fixed capacity under calls of a whole fleet.
+// labFleetLoad measures a list service of fixed capacity under the calls of a whole fleet.
 type labFleetLoad struct {
 	Callers  []int         `help:"Numbers of sidecars." default:"10,100,300,1000"`
-	Servers  int           `help:"Lines of the whole list." default:"60"`
-	Capacity []float64     `help:"Lines a second that the service tells." default:"200,1000,4000"`
-	Patience time.Duration `help:"How long a call may wait in turn." default:"2s"`
-	Length   time.Duration `help:"How long the run is." default:"60s"`
-	Pause    time.Duration `help:"Longest pause after a failed call; 0: by ask_within_ms alone." default:"4500ms"`
-	Seed     uint64        `help:"Seed of the sidecars." default:"1"`
-	JSON     bool          `help:"Print JSON in place of the table." name:"json"`
+	Servers  int           `help:"Number of lines of the whole list." default:"60"`
+	Capacity []float64     `help:"Lines per second that the service can send." default:"200,1000,4000"`
+	Patience time.Duration `help:"Maximum time that a call may wait in the queue." default:"2s"`
+	Length   time.Duration `help:"Length of the run." default:"60s"`
+	Pause    time.Duration `help:"Longest pause after a failed call; 0 uses ask_within_ms alone." default:"4500ms"`
+	Seed     uint64        `help:"Seed of the sidecars' random choices." default:"1"`
+	JSON     bool          `help:"Print JSON instead of the table." name:"json"`
 }
 
-// fleetLoadRow is one line of the table.
+// fleetLoadRow is one row of the table.
 type fleetLoadRow struct {
 	Callers  int     `json:"callers"`
 	Capacity float64 `json:"lines_per_s"`
--- a/cmd/marblelane/lab_growth.go
+++ b/cmd/marblelane/lab_growth.go
@@ -7,27 +7,27 @@
 	"marblelane/internal/lab/experiment/growth"
 )
 
-// labGrowth measures what a sidecar needs in a large fleet.
+// labGrowth measures the resource use of a sidecar in a large fleet.
 type labGrowth struct {
 	sidecarProgram
-	Sidecars          int     `help:"Sidecars of the large fleet." default:"900"`
-	Servers           int     `help:"Servers of the large fleet." default:"3200"`
-	SimulatedSidecars int     `help:"Sidecars of the large simulated fleet; 0: as --sidecars." placeholder:"N"`
-	SimulatedServers  int     `help:"Servers of the large simulated fleet; 0: as --servers." placeholder:"N"`
-	Seconds           float64 `help:"Length of a day of one real sidecar." default:"20"`
-	DaySeconds        float64 `help:"Length of the simulated day." default:"20"`
-	Rate              float64 `help:"Requests a second of each sidecar." default:"20"`
-	Replaced          float64 `help:"Share of the servers that are replaced over the day." default:"0.6"`
-	Steps             int     `help:"Steps of a day in which they are replaced." default:"20"`
-	Rounds            int     `help:"Pairs of days of one real sidecar, of which the medians count." default:"3"`
-	JSON              bool    `help:"Print JSON in place of the table." name:"json"`
-	Quiet             bool    `help:"No progress on standard error."`
+	Sidecars          int     `help:"Number of sidecars in the large fleet." default:"900"`
+	Servers           int     `help:"Number of servers in the large fleet." default:"3200"`
+	SimulatedSidecars int     `help:"Number of sidecars in the large simulated fleet; 0 uses --sidecars." placeholder:"N"`
+	SimulatedServers  int     `help:"Number of servers in the large simulated fleet; 0 uses --servers." placeholder:"N"`
+	Seconds           float64 `help:"Length in seconds of a day of one real sidecar." default:"20"`
+	DaySeconds        float64 `help:"Length in seconds of the simulated day." default:"20"`
+	Rate              float64 `help:"Requests per second of each sidecar." default:"20"`
+	Replaced          float64 `help:"Fraction of the servers that is replaced during the day." default:"0.6"`
+	Steps             int     `help:"Number of steps of a day in which servers are replaced." default:"20"`
+	Rounds            int     `help:"Number of pairs of days of one real sidecar; the medians are reported." default:"3"`
+	JSON              bool    `help:"Print JSON instead of the table." name:"json"`
+	Quiet             bool    `help:"Print no progress on standard error."`
 }
 
-// growthConnections are those of the clients of the real sidecar.
+// growthConnections is the number of client connections to the real sidecar.
 const growthConnections = 8
 
-// Run prints the growth table, and fails where a bound is broken.
+// Run prints the growth table and fails if a bound is exceeded.
 func (c *labGrowth) Run(a *app) error {
 	if c.SimulatedSidecars < 0 || c.SimulatedServers < 0 {
 		return errors.New("--simulated-sidecars or --simulated-servers is negative")
--- a/cmd/marblelane/lab_growth_test.go
+++ b/cmd/marblelane/lab_growth_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A sidecar that takes half a second of processor time for a long list breaks the bound, and the command fails.
+// A sidecar that uses half a second of CPU time for a long list exceeds the bound, so the command fails.
 func TestGrowthCommand(t *testing.T) {
 	sidecarProcess := filepath.Join(programs, "sidecar")
 	wasteful := filepath.Join(t.TempDir(), "wasteful")
@@ -25,10 +25,10 @@
 	quick := []string{"lab", "growth", "--rounds", "1", "--seconds", "1", "--day-seconds", "2", "--servers", "1600",
 		"--simulated-sidecars", "300", "--simulated-servers", "200", "--replaced", "0.05", "--rate", "5"}
 	for _, c := range []struct {
-		name string
-		args []string
-		code int
-		says string
+		name       string
+		args       []string
+		code       int
+		wantOutput string
 	}{
 		{"within bounds", []string{"--sidecar", sidecarProcess}, exitOK, "CPU seconds        one process"},
 		{"wasteful", []string{"--sidecar", wasteful}, exitFail, " NO\n"},
@@ -40,7 +40,7 @@
 			var out bytes.Buffer
 			code := run(t.Context(), append(quick, c.args...), &out, &out)
 			assert.Equal(t, c.code, code, out.String())
-			assert.Contains(t, out.String(), c.says)
+			assert.Contains(t, out.String(), c.wantOutput)
 		})
 	}
 }
--- a/cmd/marblelane/lab_list.go
+++ b/cmd/marblelane/lab_list.go
@@ -6,7 +6,7 @@
 	"marblelane/lab/scenarios"
 )
 
-// labList lists the scenarios that come with the program.
+// labList lists the built-in scenarios.
 type labList struct{}
 
 func (labList) Run(a *app) error {
--- a/cmd/marblelane/lab_list_scale.go
+++ b/cmd/marblelane/lab_list_scale.go
@@ -8,16 +8,16 @@
 	"marblelane/internal/lab/harness"
 )
 
-// labListScale measures the list service with more and more watchers.
+// labListScale measures the list service with increasing numbers of watchers and entries.
 type labListScale struct {
 	Watchers []int `help:"Numbers of watchers." default:"10,100,1000"`
 	Entries  []int `help:"Numbers of entries." default:"200,2000"`
-	JSON     bool  `help:"Print JSON in place of the table." name:"json"`
+	JSON     bool  `help:"Print JSON instead of the table." name:"json"`
 }
 
 func (c *labListScale) Run(a *app) error {
 	if slices.Min(append(c.Watchers, c.Entries...)) < 2 {
-		return errors.New("--watchers and --entries are at least 2")
+		return errors.New("--watchers and --entries must be at least 2")
 	}
 	self, err := selfProgram()
 	if err != nil {
--- a/cmd/marblelane/lab_overhead.go
+++ b/cmd/marblelane/lab_overhead.go
@@ -5,11 +5,11 @@
 	"marblelane/internal/lab/harness"
 )
 
-// labOverhead measures what the lab adds to the time of an answer.
+// labOverhead measures the latency that the lab adds to a response.
 type labOverhead struct {
 	sidecarProgram
-	Scenario string `help:"A scenario of fixed work and no faults." default:"overhead"`
-	JSON     bool   `help:"Print JSON in place of the table." name:"json"`
+	Scenario string `help:"Scenario with a fixed work per request and no faults." default:"overhead"`
+	JSON     bool   `help:"Print JSON instead of the table." name:"json"`
 }
 
 func (c *labOverhead) Run(a *app) error {
--- a/cmd/marblelane/lab_program.go
+++ b/cmd/marblelane/lab_program.go
@@ -11,12 +11,12 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// sidecarProgram names the sidecar that runs play.
+// sidecarProgram is the flag that names the sidecar program of a run.
 type sidecarProgram struct {
-	Sidecar string `help:"The sidecar's program; else the one beside this command, in bin/, in PATH, or built from the source in this folder." type:"path" placeholder:"FILE"`
+	Sidecar string `help:"Sidecar program; by default the one beside this command, in bin/, in PATH, or built from the source in this folder." type:"path" placeholder:"FILE"`
 }
 
-// findProgram gives the sidecar's program; done removes what was built.
+// findProgram returns the path of the sidecar program. done removes a program that was built.
 func (p *sidecarProgram) findProgram(a *app) (path string, done func(), err error) {
 	done = func() {}
 	if p.Sidecar != "" {
@@ -39,7 +39,7 @@
 		return path, done, nil
 	}
 	if text, err := os.ReadFile("go.mod"); err != nil || !strings.HasPrefix(string(text), "module marblelane\n") {
-		return "", done, errors.New("no sidecar beside this command, in bin/ or in PATH: name one with --sidecar, or build it")
+		return "", done, errors.New("find sidecar: none beside this command, in bin/ or in PATH; name one with --sidecar, or build it")
 	}
 	dir, err := os.MkdirTemp("", "marblelane-build-")
 	if err != nil {
@@ -57,18 +57,19 @@
 	return path, done, nil
 }
 
+// executable returns an error unless path is a file that may be executed.
 func executable(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return err
 	}
 	if info.IsDir() || info.Mode()&0o111 == 0 {
-		return fmt.Errorf("%s is no program", path)
+		return fmt.Errorf("%s is not an executable file", path)
 	}
 	return nil
 }
 
-// loadAndFind reads a scenario and finds the sidecar's program for it.
+// loadAndFind reads a scenario and finds the sidecar program. done removes a program that was built.
 func (p *sidecarProgram) loadAndFind(a *app, name string) (s *scenario.Scenario, path string, done func(), err error) {
 	if s, err = loadScenario(name); err != nil {
 		return nil, "", nil, err
@@ -77,11 +78,11 @@
 	return s, path, done, err
 }
 
-// selfProgram finds this program, of which the lab starts copies of the list service.
+// selfProgram returns the path of this program, with which the lab starts replicas of the list service.
 func selfProgram() (string, error) {
 	path, err := os.Executable()
 	if err != nil {
-		return "", fmt.Errorf("the list service's copies are of this program: %w", err)
+		return "", fmt.Errorf("find the program for list service replicas: %w", err)
 	}
 	return path, nil
 }
--- a/cmd/marblelane/lab_report.go
+++ b/cmd/marblelane/lab_report.go
@@ -10,7 +10,7 @@
 	"marblelane/internal/lab/report"
 )
 
-// finishRun saves and prints a report and turns its outcome into the command's exit.
+// finishRun saves and prints a report and returns an exitError if the run failed or the lab was late.
 func finishRun(a *app, rep *report.Report, dir string, asJSON bool) error {
 	if dir != "" {
 		if err := rep.Save(dir); err != nil {
@@ -38,6 +38,7 @@
 	return nil
 }
 
+// saveJSON writes v as a JSON file into the report folder dir.
 func saveJSON(dir, name string, v any) error {
 	data, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
--- a/cmd/marblelane/lab_request_cost.go
+++ b/cmd/marblelane/lab_request_cost.go
@@ -13,24 +13,24 @@
 	"marblelane/internal/lab/experiment/requestcost"
 )
 
-// labRequestCost measures what a sidecar costs.
+// labRequestCost measures the CPU time and memory of sidecar variants.
 type labRequestCost struct {
 	sidecarProgram
-	Programs    []string `help:"A sidecar's program to measure, with a name for it; may come again. Else the one that lab run would take, as plain." name:"program" sep:"none" placeholder:"NAME=FILE"`
-	With        []string `help:"A JSON object that is merged into the configuration of the program of this name; of any other name, into one of the first program under this name. May come again." sep:"none" placeholder:"NAME=FILE"`
-	Routes      bool     `help:"Measure each program with its requests along a route as well, with three copies of the list service."`
-	Members     int      `help:"Measure each program in a fleet with so many idle sidecars as well." placeholder:"N"`
-	Base        string   `help:"Name of what the others are compared with; else the first." placeholder:"NAME"`
-	Rounds      int      `help:"Rounds, each with a start of every variant." default:"16"`
-	Seconds     float64  `help:"For how long a variant is driven in each round." default:"3"`
-	Requests    float64  `help:"Requests a second; 0: each connection sends the next one when it has its answer." default:"0"`
-	Connections int      `help:"Connections that are kept." default:"8"`
-	Servers     int      `help:"Servers that answer at once." default:"8"`
-	JSON        bool     `help:"Print JSON in place of the table." name:"json"`
-	Quiet       bool     `help:"No progress on standard error."`
+	Programs    []string `help:"Sidecar program to measure, with a name for it; may be repeated. The default is the program that lab run would use, named plain." name:"program" sep:"none" placeholder:"NAME=FILE"`
+	With        []string `help:"JSON object to merge into the configuration of the program of this name; an unknown name adds a variant of the first program. May be repeated." sep:"none" placeholder:"NAME=FILE"`
+	Routes      bool     `help:"Also measure each program with routed requests, with three replicas of the list service."`
+	Members     int      `help:"Also measure each program in a fleet with this number of idle sidecars." placeholder:"N"`
+	Base        string   `help:"Name of the baseline variant; the default is the first." placeholder:"NAME"`
+	Rounds      int      `help:"Number of rounds; each starts every variant once." default:"16"`
+	Seconds     float64  `help:"Seconds of load on a variant in each round." default:"3"`
+	Requests    float64  `help:"Requests per second; 0 sends the next request on each connection when the response has arrived." default:"0"`
+	Connections int      `help:"Number of persistent connections." default:"8"`
+	Servers     int      `help:"Number of servers; they respond without delay." default:"8"`
+	JSON        bool     `help:"Print JSON instead of the table." name:"json"`
+	Quiet       bool     `help:"Print no progress on standard error."`
 }
 
-// idleTime is from when a sidecar is ready until its memory is measured.
+// idleTime is the time from when a sidecar is ready until its memory is measured.
 const idleTime = 2 * time.Second
 
 func (c *labRequestCost) Run(a *app) error {
@@ -52,13 +52,14 @@
 	return printResult(a, c.JSON, cost, requestcost.Print)
 }
 
-// variants are the programs, then what --with adds, then each program along a route, then each in a fleet.
+// variants returns the programs, then the variants that --with adds, then each program with routes, then each in a
+// fleet. done removes a program that was built.
 func (c *labRequestCost) variants(a *app) (all []requestcost.Variant, done func(), err error) {
 	if c.Members < 0 {
-		return nil, nil, errors.New("--members: is negative")
+		return nil, nil, errors.New("--members: must not be negative")
 	}
 	if c.Seconds <= 0 || c.Seconds > 3600 {
-		return nil, nil, fmt.Errorf("--seconds %v: is not above 0, or above 3600", c.Seconds)
+		return nil, nil, fmt.Errorf("--seconds %v: must be above 0 and at most 3600", c.Seconds)
 	}
 	done = func() {}
 	for _, given := range c.Programs {
@@ -67,7 +68,7 @@
 			err = executable(file)
 		}
 		if err == nil {
-			file, err = filepath.Abs(file) // it is started in a folder of its own
+			file, err = filepath.Abs(file) // the program is started in another working directory
 		}
 		if err != nil {
 			return nil, nil, fmt.Errorf("--program %s: %w", given, err)
@@ -105,6 +106,7 @@
 	return all, done, nil
 }
 
+// variantName names a variant of a program: the kind alone if there is only one program.
 func variantName(name, kind string, programs int) string {
 	if programs == 1 {
 		return kind
@@ -112,7 +114,7 @@
 	return name + "+" + kind
 }
 
-// applyPatch adds a section to the variant of its name, or a variant.
+// applyPatch adds a configuration patch to the variant of its name. An unknown name adds a variant of the first program.
 func applyPatch(variants []requestcost.Variant, arg string) ([]requestcost.Variant, error) {
 	name, file, err := parseNamedFile(arg)
 	if err != nil {
@@ -124,7 +126,7 @@
 	}
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(text, &object); err != nil {
-		return nil, fmt.Errorf("is no JSON object: %w", err)
+		return nil, fmt.Errorf("not a JSON object: %w", err)
 	}
 	i := slices.IndexFunc(variants, func(v requestcost.Variant) bool { return v.Name == name })
 	if i < 0 {
@@ -135,7 +137,7 @@
 	return variants, nil
 }
 
-// parseNamedFile takes NAME=FILE apart; a file alone is parseNamedFile by itself.
+// parseNamedFile splits NAME=FILE. A file without a name is named after itself, without .json.
 func parseNamedFile(arg string) (name, file string, err error) {
 	name, file, ok := strings.Cut(arg, "=")
 	if !ok {
@@ -143,7 +145,7 @@
 		name = strings.TrimSuffix(filepath.Base(file), ".json")
 	}
 	if name == "" || file == "" {
-		return "", "", errors.New("is not of the form NAME=FILE")
+		return "", "", errors.New("not of the form NAME=FILE")
 	}
 	return name, file, nil
 }
--- a/cmd/marblelane/lab_route_scale.go
+++ b/cmd/marblelane/lab_route_scale.go
@@ -7,19 +7,19 @@
 
 	"marblelane/internal/lab/experiment/routescale"
 	"marblelane/internal/lab/harness"
-	plays "marblelane/internal/rollout/model"
+	rolloutmodel "marblelane/internal/rollout/model"
 )
 
-// labRouteScale measures routes with more and more sidecars.
+// labRouteScale measures routes with increasing numbers of sidecars.
 type labRouteScale struct {
-	Sidecars  []int `help:"Numbers of sidecars, in this process, beside three real copies of the list service." default:"10,100,300"`
+	Sidecars  []int `help:"Numbers of sidecars, in this process, with three real replicas of the list service." default:"10,100,300"`
 	Simulated []int `help:"Numbers of simulated sidecars." default:"1000"`
-	JSON      bool  `help:"Print JSON in place of the table." name:"json"`
+	JSON      bool  `help:"Print JSON instead of the table." name:"json"`
 }
 
 func (c *labRouteScale) Run(a *app) error {
 	if slices.ContainsFunc(append(slices.Clone(c.Sidecars), c.Simulated...), func(n int) bool { return n < 1 || n > 5000 }) {
-		return errors.New("--sidecars and --simulated are between 1 and 5000")
+		return errors.New("--sidecars and --simulated must be between 1 and 5000")
 	}
 	self, err := selfProgram()
 	if err != nil {
@@ -37,7 +37,7 @@
 		if err != nil {
 			return err
 		}
-		if err := printResult(a, c.JSON, r, func(w io.Writer, r *plays.Result) { routescale.PrintSimulation(w, n, r) }); err != nil {
+		if err := printResult(a, c.JSON, r, func(w io.Writer, r *rolloutmodel.Result) { routescale.PrintSimulation(w, n, r) }); err != nil {
 			return err
 		}
 	}
--- a/cmd/marblelane/lab_run.go
+++ b/cmd/marblelane/lab_run.go
@@ -9,15 +9,15 @@
 	"marblelane/internal/lab/harness"
 )
 
-// labRun plays a scenario with real sidecars.
+// labRun runs a scenario with real sidecars.
 type labRun struct {
 	sidecarProgram
 	Scenario string `arg:"" help:"Name of a scenario (see list), or a file that ends in .toml."`
-	Older    string `help:"The program of the sidecars that a scenario calls older; else theirs is the same, without routes." type:"path" placeholder:"FILE"`
-	Seed     uint64 `help:"Seed of all that is drawn; 0: the scenario's." default:"0"`
-	Report   string `help:"Folder for the report, its plots and the copies' logs." type:"path" placeholder:"DIR"`
-	JSON     bool   `help:"Print the report as JSON in place of the table." name:"json"`
-	Quiet    bool   `help:"No progress on standard error."`
+	Older    string `help:"Program of the sidecars that a scenario marks as older; by default the same program without routes." type:"path" placeholder:"FILE"`
+	Seed     uint64 `help:"Seed of all random choices; 0 uses the scenario's." default:"0"`
+	Report   string `help:"Folder for the report, its plots and the logs of the processes." type:"path" placeholder:"DIR"`
+	JSON     bool   `help:"Print the report as JSON instead of the table." name:"json"`
+	Quiet    bool   `help:"Print no progress on standard error."`
 }
 
 func (c *labRun) Run(a *app) error {
@@ -41,7 +41,7 @@
 	}
 	if !c.Quiet {
 		o.Progress = a.errOut
-		fmt.Fprintf(a.errOut, "playing %s: %s\n", s.Name, s.Title)
+		fmt.Fprintf(a.errOut, "running %s: %s\n", s.Name, s.Title)
 	}
 	if c.Report != "" {
 		o.Dir = filepath.Join(c.Report, "copies")
--- a/cmd/marblelane/lab_scale.go
+++ b/cmd/marblelane/lab_scale.go
@@ -5,13 +5,13 @@
 	"marblelane/internal/lab/harness"
 )
 
-// labScale measures what fleets of several sizes cost.
+// labScale measures the resource use of fleets of several sizes.
 type labScale struct {
 	sidecarProgram
-	Scenario string `help:"The scenario whose fleet is sized." default:"scale"`
+	Scenario string `help:"Scenario whose fleet size is varied." default:"scale"`
 	Sidecars []int  `help:"Numbers of sidecars." default:"3,30,100"`
 	Servers  []int  `help:"Numbers of stand-in servers." default:"10,100,1000"`
-	JSON     bool   `help:"Print JSON in place of the table." name:"json"`
+	JSON     bool   `help:"Print JSON instead of the table." name:"json"`
 }
 
 func (c *labScale) Run(a *app) error {
--- a/cmd/marblelane/lab_scenario.go
+++ b/cmd/marblelane/lab_scenario.go
@@ -11,9 +11,9 @@
 	"marblelane/lab/scenarios"
 )
 
-// loadScenario reads a scenario: one that comes with the program by its name, any other by its file.
+// loadScenario reads a built-in scenario by its name, any other by its file, which ends in .toml.
 //
-// NAME~KIND is a scenario without its faults of the kinds that begin with KIND: what it would be if they were not there.
+// NAME~KIND is the scenario without its faults whose kind begins with KIND.
 func loadScenario(name string) (*scenario.Scenario, error) {
 	if complete, kind, cut := strings.Cut(name, "~"); cut {
 		s, err := loadScenario(complete)
@@ -23,7 +23,7 @@
 		before := len(s.Faults)
 		s.Faults = slices.DeleteFunc(s.Faults, func(f scenario.Fault) bool { return strings.HasPrefix(f.Kind, kind) })
 		if len(s.Faults) == before {
-			return nil, fmt.Errorf("%s has no fault of a kind that begins with %q", complete, kind)
+			return nil, fmt.Errorf("scenario %s: no fault of a kind that begins with %q", complete, kind)
 		}
 		return s, nil
 	}
@@ -32,7 +32,7 @@
 	}
 	s, err := scenarios.Load(name)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("there is no scenario %q: `marblelane lab list` lists them; a file of your own ends in .toml", name)
+		return nil, fmt.Errorf("no scenario %q: `marblelane lab list` lists the built-in ones; the name of a scenario file ends in .toml", name)
 	}
 	return s, err
 }
--- a/cmd/marblelane/lab_simulate.go
+++ b/cmd/marblelane/lab_simulate.go
@@ -9,16 +9,16 @@
 	"marblelane/internal/lab/simulate"
 )
 
-// labSimulate plays a scenario on a simulated clock.
+// labSimulate runs a scenario on a simulated clock.
 type labSimulate struct {
 	Scenario string  `arg:"" help:"Name of a scenario (see list), or a file that ends in .toml."`
-	Seed     uint64  `help:"Seed of all that is drawn; 0: the scenario's." default:"0"`
-	Sidecars int     `help:"Sidecars in place of the scenario's." placeholder:"N"`
-	Servers  int     `help:"Servers in place of the scenario's." placeholder:"N"`
-	Rate     float64 `help:"Requests a second of each sidecar in place of the scenario's load." placeholder:"N"`
+	Seed     uint64  `help:"Seed of all random choices; 0 uses the scenario's." default:"0"`
+	Sidecars int     `help:"Number of sidecars, instead of the scenario's." placeholder:"N"`
+	Servers  int     `help:"Number of servers, instead of the scenario's." placeholder:"N"`
+	Rate     float64 `help:"Requests per second of each sidecar, instead of the scenario's load." placeholder:"N"`
 	Report   string  `help:"Folder for the report and its plots." type:"path" placeholder:"DIR"`
-	JSON     bool    `help:"Print the report as JSON in place of the table." name:"json"`
-	Quiet    bool    `help:"No progress on standard error."`
+	JSON     bool    `help:"Print the report as JSON instead of the table." name:"json"`
+	Quiet    bool    `help:"Print no progress on standard error."`
 }
 
 func (c *labSimulate) Run(a *app) error {
@@ -27,7 +27,7 @@
 		return err
 	}
 	if c.Sidecars < 0 || c.Servers < 0 || c.Rate < 0 {
-		return errors.New("--sidecars, --servers and --rate are not negative")
+		return errors.New("--sidecars, --servers and --rate must not be negative")
 	}
 	if c.Sidecars > 0 {
 		s.Sidecars.Count = c.Sidecars
@@ -44,7 +44,7 @@
 		o.Progress = func(fraction float64) {
 			if time.Since(last) > 2*time.Second {
 				last = time.Now()
-				fmt.Fprintf(a.errOut, "%3.0f %% played\n", 100*fraction)
+				fmt.Fprintf(a.errOut, "%3.0f %% simulated\n", 100*fraction)
 			}
 		}
 	}
--- a/cmd/marblelane/main.go
+++ b/cmd/marblelane/main.go
@@ -1,4 +1,4 @@
-// Command marblelane is what operators and developers run beside the sidecar: the list service and the lab.
+// Command marblelane serves and administers the list service, inspects membership and saved state, and runs the lab.
 package main
 
 import (
@@ -14,32 +14,32 @@
 	"github.com/alecthomas/kong"
 )
 
-// The ways a command ends.
+// Exit codes of the command.
 const (
 	exitOK    = 0
-	exitFail  = 1 // an expectation or a rule was broken
-	exitUsage = 2 // the call or a file cannot be meant, or the run could not be played
-	exitLate  = 3 // the lab was late, the run does not count
+	exitFail  = 1 // an expectation or an invariant failed, or a check found a problem
+	exitUsage = 2 // the arguments or a file are invalid, or the operation could not be carried out
+	exitLate  = 3 // the lab missed its schedule, so the run does not count
 )
 
-// exitError carries how a command that has already said all ends.
+// exitError is the exit code of a command that has already printed its outcome.
 type exitError int
 
 func (e exitError) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
-// cli is all that the command takes.
+// cli holds the global flags and the commands.
 type cli struct {
-	LogFormat string `help:"Form of the log on standard error: ${enum}." enum:"text,json" default:"text"`
-	LogLevel  string `help:"Least level that is logged: ${enum}." enum:"debug,info,warn,error" default:"warn"`
+	LogFormat string `help:"Format of the log on standard error: ${enum}." enum:"text,json" default:"text"`
+	LogLevel  string `help:"Minimum level that is logged: ${enum}." enum:"debug,info,warn,error" default:"warn"`
 
-	Lab      labCmd      `cmd:"" help:"Run copies of the sidecar between stand-ins, with faults between them, and measure."`
-	Members  membersCmd  `cmd:"" help:"Show and change who is in a fleet, as its processes see it."`
-	Register registerCmd `cmd:"" help:"Keep a server on the list: register it once it is healthy, renew, drain and remove it at SIGTERM."`
-	State    stateCmd    `cmd:"" help:"Show and verify what processes keep on disk over restarts."`
-	Registry registryCmd `cmd:"" help:"Serve a copy of the list service that sidecars follow, or ask one."`
+	Lab      labCmd      `cmd:"" help:"Run sidecars between stand-in clients and servers, inject faults, and measure."`
+	Members  membersCmd  `cmd:"" help:"Show and change the members of a fleet, as its processes see them."`
+	Register registerCmd `cmd:"" help:"Keep a server on the list: register it once it is healthy, renew its lease, and drain and remove it on SIGTERM."`
+	State    stateCmd    `cmd:"" help:"Show and verify the state that processes keep on disk across restarts."`
+	Registry registryCmd `cmd:"" help:"Run a replica of the list service that sidecars follow, or send requests to one."`
 }
 
-// app is what commands are given.
+// app is the environment that commands run in.
 type app struct {
 	ctx    context.Context
 	out    io.Writer
@@ -54,7 +54,7 @@
 	os.Exit(code)
 }
 
-// run is main without the process around it.
+// run parses the arguments, runs the command and returns its exit code.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	var c cli
 	exitCode := -1
@@ -70,7 +70,7 @@
 		return exitCode
 	}
 	if err != nil {
-		fmt.Fprintf(errOut, "marblelane: %v; --help after a command shows how it is called\n", err)
+		fmt.Fprintf(errOut, "marblelane: %v; use --help after a command for its usage\n", err)
 		return exitUsage
 	}
 	err = k.Run(&app{ctx: ctx, out: out, errOut: errOut, log: c.logger(errOut)})
@@ -88,7 +88,7 @@
 
 func (c *cli) logger(w io.Writer) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(c.LogLevel)) // kong has checked it
+	_ = level.UnmarshalText([]byte(c.LogLevel)) // kong has validated the level
 	o := &slog.HandlerOptions{Level: level}
 	if c.LogFormat == "json" {
 		return slog.New(slog.NewJSONHandler(w, o))
--- a/cmd/marblelane/main_test.go
+++ b/cmd/marblelane/main_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "the programs cannot be built:", err)
+		fmt.Fprintln(os.Stderr, "build programs:", err)
 		os.Exit(1)
 	}
 	code := m.Run()
@@ -51,10 +51,10 @@
 	hopeless := file("hopeless.toml", "title = \"hopeless\"\nlength = \"1s\"\n[sidecars]\ncount = 1\n[servers]\ncount = 2\n[expect]\np99 = \"1ms\"\n")
 	sidecarProcess := filepath.Join(programs, "sidecar")
 	for _, c := range []struct {
-		name      string
-		args      []string
-		code      int
-		out, said string // parts of standard output and standard error
+		name        string
+		args        []string
+		code        int
+		out, errOut string // parts of standard output and standard error
 	}{
 		{"help", []string{"--help"}, 0, "lab run", ""},
 		{"no command", nil, 2, "", "expected"},
@@ -67,39 +67,39 @@
 		{"no file", []string{"lab", "run", filepath.Join(dir, "none.toml")}, 2, "", "none.toml"},
 		{"bad file", []string{"lab", "check", file("bad.toml", "title = \"x\"\nlength = \"5\"\n")}, 2, "", "bad.toml:2: length:"},
 		{"no program", []string{"lab", "run", short, "--sidecar", filepath.Join(dir, "none")}, 2, "", "--sidecar"},
-		{"no executable", []string{"lab", "run", short, "--sidecar", short}, 2, "", "is no program"},
+		{"no executable", []string{"lab", "run", short, "--sidecar", short}, 2, "", "is not an executable file"},
 		{"expectation", []string{"lab", "run", hopeless, "--sidecar", sidecarProcess}, 1, "\nFAIL: p99 (ms) is ", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var out, said bytes.Buffer
-			code := run(t.Context(), c.args, &out, &said)
+			var out, errOut bytes.Buffer
+			code := run(t.Context(), c.args, &out, &errOut)
 			if code == exitLate {
 				t.Skip("the lab was late")
 			}
-			if code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(said.String(), c.said) {
-				t.Errorf("%v ends with %d\nout: %s\nerr: %s", c.args, code, out.String(), said.String())
+			if code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(errOut.String(), c.errOut) {
+				t.Errorf("%v: exit code %d\nout: %s\nerr: %s", c.args, code, out.String(), errOut.String())
 			}
 		})
 	}
 }
 
-// startLab runs the real command until its copies are up, and gives their process ids.
+// startLab starts the real command, waits until its processes are up and returns their process ids.
 func startLab(t *testing.T, scenario string) (*exec.Cmd, *bytes.Buffer, []int) {
 	t.Helper()
 	cmd := marblelane("--log-level", "info", "lab", "run", scenario)
 	out := &bytes.Buffer{}
 	cmd.Stdout = out
 	startUntil(t, cmd, cmd.StderrPipe, "all parties are up")
-	copies := childrenOf(t, cmd.Process.Pid)
-	if len(copies) != 2 {
-		t.Fatalf("children are %v, want 2", copies)
+	children := childrenOf(t, cmd.Process.Pid)
+	if len(children) != 2 {
+		t.Fatalf("children are %v, want 2", children)
 	}
-	return cmd, out, copies
+	return cmd, out, children
 }
 
 func childrenOf(t *testing.T, pid int) []int {
 	t.Helper()
-	var all []int
+	var children []int
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid))
 	for _, f := range tasks {
 		text, err := os.ReadFile(f)
@@ -108,13 +108,13 @@
 		}
 		for _, s := range strings.Fields(string(text)) {
 			n, _ := strconv.Atoi(s)
-			all = append(all, n)
+			children = append(children, n)
 		}
 	}
-	return all
+	return children
 }
 
-// requireEnded waits until none of the processes runs. One that has ended and is not yet collected is gone too.
+// requireEnded waits until none of the processes runs. A zombie counts as ended.
 func requireEnded(t *testing.T, pids []int) {
 	t.Helper()
 	for _, pid := range pids {
@@ -139,7 +139,7 @@
 sidecars = "#1"
 `
 
-// However the lab ends, its copies end with it, a frozen one too.
+// However the lab ends, the processes it started end with it, even a frozen one.
 func TestLabRun_copiesEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "long.toml")
 	if err := os.WriteFile(path, []byte(longScenario), 0o644); err != nil {
@@ -152,14 +152,14 @@
 			sendSignal(t, cmd, signal)
 			_ = cmd.Wait()
 			if signal != syscall.SIGKILL && cmd.ProcessState.ExitCode() != exitUsage {
-				t.Errorf("it ended with %v", cmd.ProcessState)
+				t.Errorf("exited with %v", cmd.ProcessState)
 			}
 			requireEnded(t, pids)
 		})
 	}
 }
 
-// A lab that was held up says that its run does not count, whatever came out of it.
+// A lab that was stopped for a while reports that its run does not count, whatever the result is.
 func TestLabRun_late(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held.toml")
 	text := "title = \"held\"\nlength = \"6s\"\n[sidecars]\ncount = 2\n[servers]\ncount = 2\n[expect]\np99 = \"1ms\"\n"
@@ -167,19 +167,19 @@
 		t.Fatal(err)
 	}
 	cmd, out, _ := startLab(t, path)
-	for range 2 { // the first may come before the run's clock has begun
+	for range 2 { // the first may come before the run's clock has started
 		sendSignal(t, cmd, syscall.SIGSTOP)
-		time.Sleep(1500 * time.Millisecond) // the fault itself: it has to be longer than what is let pass
+		time.Sleep(1500 * time.Millisecond) // the fault itself: longer than the tolerated lateness
 		sendSignal(t, cmd, syscall.SIGCONT)
 		time.Sleep(500 * time.Millisecond)
 	}
 	_ = cmd.Wait()
 	if code := cmd.ProcessState.ExitCode(); code != exitLate || !strings.Contains(out.String(), "\nLATE: the lab could not keep its times") {
-		t.Errorf("it ended with %d:\n%s", code, out.String())
+		t.Errorf("exited with %d:\n%s", code, out.String())
 	}
 }
 
-// Two programs can be compared as well as two scenarios.
+// lab compare accepts two programs as well as two scenarios.
 func TestLabCompare_programs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "brief.toml")
 	if err := os.WriteFile(path, []byte("title = \"brief\"\nlength = \"1s\"\n[sidecars]\ncount = 1\n[servers]\ncount = 2\n"), 0o644); err != nil {
@@ -187,10 +187,10 @@
 	}
 	sidecarProcess := filepath.Join(programs, "sidecar")
 	dir := filepath.Join(t.TempDir(), "report")
-	var out, said bytes.Buffer
-	code := run(t.Context(), []string{"lab", "compare", sidecarProcess, sidecarProcess, "--scenario", path, "--plays", "2", "--report", dir}, &out, &said)
-	if code != exitOK || !strings.Contains(out.String(), "2 plays each, seeds 1 to 2") || !strings.Contains(said.String(), "play 2 of 2") {
-		t.Errorf("it ended with %d\nout: %s\nerr: %s", code, out.String(), said.String())
+	var out, errOut bytes.Buffer
+	code := run(t.Context(), []string{"lab", "compare", sidecarProcess, sidecarProcess, "--scenario", path, "--plays", "2", "--report", dir}, &out, &errOut)
+	if code != exitOK || !strings.Contains(out.String(), "2 plays each, seeds 1 to 2") || !strings.Contains(errOut.String(), "play 2 of 2") {
+		t.Errorf("exited with %d\nout: %s\nerr: %s", code, out.String(), errOut.String())
 	}
 	if _, err := os.Stat(filepath.Join(dir, "compare.json")); err != nil {
 		t.Error(err)
@@ -207,7 +207,7 @@
 		t.Errorf("%d faults of %d are left, %v", len(sound.Faults), len(complete.Faults), err)
 	}
 	if _, err := loadScenario("list-half~sidecar-"); err == nil || !strings.Contains(err.Error(), `"sidecar-"`) {
-		t.Errorf("a kind that is not there: %v", err)
+		t.Errorf("a kind without faults: %v", err)
 	}
 }
 
--- a/cmd/marblelane/members_diff.go
+++ b/cmd/marblelane/members_diff.go
@@ -14,19 +14,19 @@
 
 // membersDiff compares the views of several processes.
 type membersDiff struct {
-	Addrs       []string      `arg:"" name:"addr" help:"HOST:PORT of each process, two at least."`
-	Wait        time.Duration `help:"How long an answer may take." default:"3s"`
-	MaxParallel int           `name:"most" help:"How many are asked at a time." default:"16" placeholder:"N"`
-	Apart       time.Duration `help:"They are asked twice, so far apart: what differs at both moments alike is lasting, else it is news on its way." default:"2s"`
-	JSON        bool          `help:"Print JSON in place of the table." name:"json"`
+	Addrs       []string      `arg:"" name:"addr" help:"HOST:PORT of each process, at least two."`
+	Wait        time.Duration `help:"Maximum time to wait for a response." default:"3s"`
+	MaxParallel int           `name:"most" help:"Maximum number of concurrent queries." default:"16" placeholder:"N"`
+	Apart       time.Duration `help:"Time between the two queries of each process: a difference that is the same in both is persistent, else it is still propagating." default:"2s"`
+	JSON        bool          `help:"Print JSON instead of the table." name:"json"`
 }
 
-// viewDiff is what came of asking several processes.
+// viewDiff is the result of querying several processes.
 type viewDiff struct {
 	InAgreement bool              `json:"in_agreement"`
-	Digests     map[string]string `json:"digests"` // by address, of those that answered
+	Digests     map[string]string `json:"digests"` // by address, of the processes that answered both queries
 	Differences []view.Difference `json:"differences"`
-	Unobserved  map[string]string `json:"unasked"` // by address, why
+	Unobserved  map[string]string `json:"unasked"` // reason by address
 }
 
 func (c *membersDiff) Run(a *app) error {
@@ -54,23 +54,24 @@
 	return nil
 }
 
+// validate checks the arguments and returns a client for the queries.
 func (c *membersDiff) validate() (*view.Client, error) {
 	if len(c.Addrs) < 2 {
-		return nil, errors.New("ADDR: two at least are compared")
+		return nil, errors.New("ADDR: at least two are needed")
 	}
 	for i, addr := range c.Addrs {
 		if err := view.CheckAddr(addr); err != nil {
 			return nil, fmt.Errorf("ADDR %w", err)
 		}
 		if slices.Contains(c.Addrs[:i], addr) {
-			return nil, fmt.Errorf("ADDR %s: is given twice", addr)
+			return nil, fmt.Errorf("ADDR %s: duplicate address", addr)
 		}
 	}
 	if c.MaxParallel < 1 {
-		return nil, fmt.Errorf("--most %d: is below 1", c.MaxParallel)
+		return nil, fmt.Errorf("--most %d: must be at least 1", c.MaxParallel)
 	}
 	if c.Apart < 0 {
-		return nil, fmt.Errorf("--apart %v: is negative", c.Apart)
+		return nil, fmt.Errorf("--apart %v: must not be negative", c.Apart)
 	}
 	client, err := newViewClient(c.Wait)
 	if err == nil {
@@ -79,7 +80,7 @@
 	return client, err
 }
 
-// newViewDiff compares what was said. Processes of several fleets cannot be compared.
+// newViewDiff compares the observed views. Processes of different fleets cannot be compared.
 func newViewDiff(observations []view.Observation) (*viewDiff, error) {
 	d := &viewDiff{Digests: map[string]string{}, Unobserved: map[string]string{}, Differences: view.Diff(observations)}
 	var first *view.Observation
@@ -93,7 +94,7 @@
 			first = observation
 		}
 		if observation.Second.Fleet != first.Second.Fleet {
-			return nil, fmt.Errorf("ADDR %s: is of fleet %q, and %s of %q", observation.Addr, observation.Second.Fleet, first.Addr, first.Second.Fleet)
+			return nil, fmt.Errorf("ADDR %s: belongs to fleet %q, but %s to %q", observation.Addr, observation.Second.Fleet, first.Addr, first.Second.Fleet)
 		}
 		d.Digests[observation.Addr] = fmt.Sprintf("%016x", view.Digest(observation.Second))
 	}
@@ -102,7 +103,7 @@
 	return d, nil
 }
 
-// distinctDigests are the digests that there are.
+// distinctDigests returns the different digests, sorted.
 func (d *viewDiff) distinctDigests() []string {
 	return slices.Compact(slices.Sorted(maps.Values(d.Digests)))
 }
@@ -121,31 +122,32 @@
 		_ = t.Flush() // as in printMembers
 	}
 	for _, addr := range slices.Sorted(maps.Keys(d.Unobserved)) {
-		fmt.Fprintf(w, "ADDR %s: cannot be asked: %s\n", addr, d.Unobserved[addr])
+		fmt.Fprintf(w, "ADDR %s: query failed: %s\n", addr, d.Unobserved[addr])
 	}
 	if digests := d.distinctDigests(); len(digests) > 1 {
 		for _, addr := range slices.Sorted(maps.Keys(d.Digests)) {
 			fmt.Fprintf(w, "digest %s at %s\n", d.Digests[addr], addr)
 		}
 	} else if len(digests) == 1 {
-		fmt.Fprintf(w, "digest %s at each of %d asked\n", digests[0], len(d.Digests))
+		fmt.Fprintf(w, "digest %s at each of %d processes\n", digests[0], len(d.Digests))
 	}
 	switch {
 	case !d.InAgreement:
 		fmt.Fprintln(w, "not in agreement")
 	case len(d.Digests) < 2:
-		fmt.Fprintf(w, "%d could be asked: there is nothing to compare\n", len(d.Digests))
+		fmt.Fprintf(w, "%d processes answered: nothing to compare\n", len(d.Digests))
 	default:
 		fmt.Fprintln(w, "in agreement")
 	}
 }
 
+// stageText describes whether a difference is persistent, propagating or resolved.
 func stageText(x view.Difference) string {
 	switch x.Stage {
 	case view.Persistent:
-		return "they differ lastingly, for " + durationText(x.ForMS)
+		return "persistent difference, for " + durationText(x.ForMS)
 	case view.Emerging:
-		return "they differ, as news is on its way, for " + durationText(x.ForMS)
+		return "difference while a change propagates, for " + durationText(x.ForMS)
 	}
-	return "they differed, and agree by now"
+	return "difference resolved"
 }
--- a/cmd/marblelane/members_gone.go
+++ b/cmd/marblelane/members_gone.go
@@ -9,12 +9,12 @@
 	"marblelane/internal/membership/roster"
 )
 
-// membersGone tells a process that another one is gone.
+// membersGone reports to a process that another one is gone.
 type membersGone struct {
 	memberProcess
-	Name  string `arg:"" help:"The name of the process that is gone."`
-	Start int64  `arg:"" help:"The number of its start, as list shows it."`
-	Yes   bool   `help:"Say so of a process that is not silent there: if it lives it comes again as a newcomer."`
+	Name  string `arg:"" help:"Name of the process that is gone."`
+	Start int64  `arg:"" help:"Start number of the process, as list shows it."`
+	Yes   bool   `help:"Report it even if the process is not silent there: one that is alive rejoins as a new member."`
 }
 
 func (c *membersGone) Run(a *app) error {
@@ -35,19 +35,19 @@
 	}
 	switch {
 	case len(starts) == 0:
-		return fmt.Errorf("NAME %s: %s knows no process of this name", c.Name, c.Addr)
+		return fmt.Errorf("NAME %s: no process of this name at %s", c.Name, c.Addr)
 	case index < 0:
-		return fmt.Errorf("START %d: %s knows of %s the starts %s", c.Start, c.Addr, c.Name, strings.Join(starts, ", "))
+		return fmt.Errorf("START %d: %s lists %s with the starts %s", c.Start, c.Addr, c.Name, strings.Join(starts, ", "))
 	case r.Members[index].State == membership.Removed:
-		fmt.Fprintf(a.out, "%s is known to be gone already (%s)\n", idText(id), orDash(r.Members[index].Proof))
+		fmt.Fprintf(a.out, "%s is already gone (%s)\n", idText(id), orDash(r.Members[index].Proof))
 		return nil
 	case r.Members[index].State != membership.Unreachable && !c.Yes:
-		return fmt.Errorf("--yes: %s is %s at %s; it is needed for all but silent ones", idText(id), r.Members[index].State,
+		return fmt.Errorf("--yes: required because %s is %s at %s, not silent", idText(id), r.Members[index].State,
 			c.Addr)
 	}
 	if err := client.ConfirmGone(a.ctx, c.Addr, id); err != nil {
 		return c.withAddr(err)
 	}
-	fmt.Fprintf(a.out, "%s counts as gone\n", idText(id))
+	fmt.Fprintf(a.out, "%s reported as gone\n", idText(id))
 	return nil
 }
--- a/cmd/marblelane/members_leave.go
+++ b/cmd/marblelane/members_leave.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// membersLeave asks a process to leave its fleet.
+// membersLeave makes a process leave its fleet.
 type membersLeave struct{ memberProcess }
 
 func (c *membersLeave) Run(a *app) error {
@@ -13,6 +13,6 @@
 	if err := client.Leave(a.ctx, c.Addr); err != nil {
 		return c.withAddr(err)
 	}
-	fmt.Fprintf(a.out, "%s leaves\n", c.Addr)
+	fmt.Fprintf(a.out, "%s is leaving\n", c.Addr)
 	return nil
 }
--- a/cmd/marblelane/members_list.go
+++ b/cmd/marblelane/members_list.go
@@ -9,10 +9,10 @@
 	"marblelane/internal/membership"
 )
 
-// membersList prints what a process sees of its fleet.
+// membersList prints a process's view of its fleet.
 type membersList struct {
 	memberProcess
-	JSON bool `help:"Print the process's report as JSON in place of the table." name:"json"`
+	JSON bool `help:"Print the process's report as JSON instead of the table." name:"json"`
 }
 
 func (c *membersList) Run(a *app) error {
@@ -23,10 +23,11 @@
 	return printResult(a, c.JSON, r, printMembers)
 }
 
+// printMembers writes the view's summary and a table of the members.
 func printMembers(w io.Writer, r *membership.Report) {
 	estimate := ""
 	if r.EstimatedSize > 0 {
-		estimate = fmt.Sprintf(", decides as one of %.3g", r.EstimatedSize)
+		estimate = fmt.Sprintf(", estimated size %.3g", r.EstimatedSize)
 	}
 	fmt.Fprintf(w, "%s in fleet %q: %s%s; %d changes, %d dropped\n", idText(r.Self), r.Fleet, viewText(r), estimate,
 		r.Changes, r.Dropped)
@@ -47,5 +48,5 @@
 		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Start, m.State, durationText(m.SinceMS), lastAlive,
 			orDash(m.Role), orDash(m.Zone), orDash(m.Version), orDash(m.Addr), orDash(strings.Join(notes, ", ")))
 	}
-	_ = t.Flush() // its writer is not given errors by commands
+	_ = t.Flush() // commands do not check write errors of their output
 }
--- a/cmd/marblelane/members_watch.go
+++ b/cmd/marblelane/members_watch.go
@@ -14,7 +14,7 @@
 // membersWatch prints each change that a process sees.
 type membersWatch struct {
 	memberProcess
-	JSON bool `help:"Print the process's report as JSON at each change, one on a line." name:"json"`
+	JSON bool `help:"Print the process's report as JSON at each change, one report per line." name:"json"`
 }
 
 func (c *membersWatch) Run(a *app) error {
@@ -32,12 +32,12 @@
 		last = r
 		return err
 	}, func(err error, delay time.Duration) {
-		fmt.Fprintf(a.errOut, "ADDR %s: %v; asking again in %v\n", c.Addr, err, delay.Round(time.Millisecond))
+		fmt.Fprintf(a.errOut, "ADDR %s: %v; retrying in %v\n", c.Addr, err, delay.Round(time.Millisecond))
 	})
 	return c.withAddr(err)
 }
 
-// printChanges writes what has changed since the last report; nil: there was none, all is new.
+// printChanges writes the changes since the last report. If last is nil, all members are new.
 func printChanges(w io.Writer, last, r *membership.Report) error {
 	at := time.UnixMilli(r.UnixMS).Format("15:04:05.000")
 	var text strings.Builder
@@ -45,7 +45,7 @@
 	if last != nil {
 		before = last.Members
 		if last.Self != r.Self {
-			fmt.Fprintf(&text, "%s another process answers: %s in place of %s\n", at, idText(r.Self), idText(last.Self))
+			fmt.Fprintf(&text, "%s different process at this address: %s instead of %s\n", at, idText(r.Self), idText(last.Self))
 		}
 	}
 	for _, ch := range view.Changes(before, r.Members) {
--- a/cmd/marblelane/output.go
+++ b/cmd/marblelane/output.go
@@ -6,6 +6,7 @@
 	"io"
 )
 
+// printJSON writes v as indented JSON.
 func printJSON(a *app, v any) error {
 	e := json.NewEncoder(a.out)
 	e.SetIndent("", " ")
@@ -15,7 +16,7 @@
 	return nil
 }
 
-// printResult prints what was measured, as JSON or as a table.
+// printResult writes a result as JSON or with the function table.
 func printResult[T any](a *app, asJSON bool, v T, table func(io.Writer, T)) error {
 	if asJSON {
 		return printJSON(a, v)
--- a/cmd/marblelane/pages_test.go
+++ b/cmd/marblelane/pages_test.go
@@ -14,11 +14,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pageCommand is a command line of a page.
+// pageCommand is a command line that a page shows.
 type pageCommand struct {
 	place   string // page and line number
 	text    string
-	inBlock bool // from a block of code; else from a sentence, which may leave out arguments
+	inBlock bool // in a code block, else in a sentence, which may omit arguments
 }
 
 // commandSpan finds commands in a sentence.
@@ -27,7 +27,7 @@
 // commandLine finds a command in a block of code, indented or fenced.
 var commandLine = regexp.MustCompile(`^(?:    |\t)?(?:\$ )?(?:go run \./cmd/|bin/|\./bin/)?marblelane((?: .*)?)$`)
 
-// pageCommands gives the command lines of a page. A line that ends in a backslash goes on in the next one.
+// pageCommands returns the command lines of a page. A line that ends in a backslash continues on the next one.
 func pageCommands(name, page string) (all []pageCommand) {
 	lines := strings.Split(page, "\n")
 	fenced := false
@@ -53,14 +53,14 @@
 	return all
 }
 
-// placeholders are the words that stand for a value, and a value that the program takes for each.
+// placeholders maps each placeholder of the pages to a value that the program accepts.
 var placeholders = map[string]string{
 	"FILE": "file", "DIR": "folder", "HOST:PORT": "127.0.0.1:8500", "ADDR": "127.0.0.1:8500", "N": "1", "START": "1",
 	"NAME": "r1", "OLD": "r1", "NEW": "r2", "UID": "s-1", "RAFT": "127.0.0.1:8601", "SERVE": "127.0.0.1:8501",
 	"URL": "http://127.0.0.1:8081/", "NAME=FILE": "plain=file", "KIND": "list-", "SCENARIO": "quickstart",
 }
 
-// words splits a command as a shell does, without what follows #, and fills its placeholders.
+// words splits a command as a shell does, drops a comment after # and replaces placeholders.
 func (c pageCommand) words(t *testing.T) (words []string) {
 	t.Helper()
 	word, started, quote := "", false, rune(0)
@@ -89,12 +89,12 @@
 			word, started = word+string(r), true
 		}
 	}
-	require.Zero(t, quote, "%s: a quote is not closed: %s", c.place, c.text)
+	require.Zero(t, quote, "%s: unclosed quote: %s", c.place, c.text)
 	end()
 	return words
 }
 
-// parse gives the error of the program's own parser.
+// parse returns the error of the program's own parser.
 func (c pageCommand) parse(t *testing.T) error {
 	t.Helper()
 	parser, err := kong.New(&cli{}, kong.Name("marblelane"), kong.Writers(io.Discard, io.Discard), kong.Exit(func(int) {}))
--- a/cmd/marblelane/process_test.go
+++ b/cmd/marblelane/process_test.go
@@ -14,12 +14,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// marblelane is the built program with arguments, which is not started yet.
+// marblelane returns a command, not yet started, for the built program with these arguments.
 func marblelane(args ...string) *exec.Cmd {
 	return exec.Command(filepath.Join(programs, "marblelane"), args...)
 }
 
-// execute runs the built program to its end.
+// execute runs the built program until it exits.
 func execute(t *testing.T, args ...string) (code int, out, errOut string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -43,8 +43,8 @@
 	})
 }
 
-// startUntil starts a program and waits until a line of one of its outputs holds a text; it gives that line. What
-// follows is read and dropped.
+// startUntil starts a program, waits until a line of one of its outputs contains a text and returns that line. Later
+// output is read and discarded.
 func startUntil(t *testing.T, cmd *exec.Cmd, pipe func() (io.ReadCloser, error), text string) (line string) {
 	t.Helper()
 	output, err := pipe()
@@ -65,14 +65,14 @@
 	return ""
 }
 
-// valueOf gives what follows a key in a line of a log, up to the next blank.
+// valueOf returns the text after a key in a log line, up to the next space.
 func valueOf(line, key string) string {
 	_, after, _ := strings.Cut(line, key)
 	value, _, _ := strings.Cut(after, " ")
 	return value
 }
 
-// sendSignal sends a signal to a program that runs.
+// sendSignal sends a signal to a running program.
 func sendSignal(t *testing.T, cmd *exec.Cmd, signal syscall.Signal) {
 	t.Helper()
 	require.NoError(t, cmd.Process.Signal(signal))
--- a/cmd/marblelane/register.go
+++ b/cmd/marblelane/register.go
@@ -14,22 +14,23 @@
 	"marblelane/internal/registry/state"
 )
 
+// registerCmd keeps a server on the list, and runs it if a command is named.
 type registerCmd struct {
-	Copy     []string      `help:"Address of a copy of the list service; several, in order of preference." required:"" placeholder:"HOST:PORT"`
-	UID      string        `help:"The server's name, its own and lasting." required:"" placeholder:"NAME"`
-	Endpoint string        `help:"HOST:PORT at which it serves." required:"" placeholder:"HOST:PORT"`
-	Zone     string        `help:"Its zone." placeholder:"NAME"`
-	Model    string        `help:"Its kind of machine." placeholder:"NAME"`
-	Pod      int           `help:"Its pod group." placeholder:"N"`
-	Lease    time.Duration `help:"It is off the list after so long without a renewal." default:"15s"`
-	Health   string        `help:"URL that answers 200 when it can serve." placeholder:"URL"`
-	Faults   string        `help:"The lab's file of faults." hidden:"" placeholder:"FILE"`
-	Drain    time.Duration `help:"From Terminating until it is taken off." default:"5s"`
-	Command  []string      `arg:"" optional:"" passthrough:"" help:"The server to run, after --; without one it runs already."`
+	Copy     []string      `help:"Address of a replica of the list service; may be repeated, in order of preference." required:"" placeholder:"HOST:PORT"`
+	UID      string        `help:"Unique name of the server, the same across restarts." required:"" placeholder:"NAME"`
+	Endpoint string        `help:"HOST:PORT at which the server accepts requests." required:"" placeholder:"HOST:PORT"`
+	Zone     string        `help:"Zone of the server." placeholder:"NAME"`
+	Model    string        `help:"Machine model of the server." placeholder:"NAME"`
+	Pod      int           `help:"Pod group of the server." placeholder:"N"`
+	Lease    time.Duration `help:"Time without a renewal after which the server is removed from the list." default:"15s"`
+	Health   string        `help:"Health check URL; it answers 200 when the server can serve." placeholder:"URL"`
+	Faults   string        `help:"Fault file of the lab." hidden:"" placeholder:"FILE"`
+	Drain    time.Duration `help:"Time from Terminating until the server is removed from the list." default:"5s"`
+	Command  []string      `arg:"" optional:"" passthrough:"" help:"Command that runs the server, after --; without one the server is assumed to run already."`
 }
 
-// Run registers a server, and runs it if there is a command. The command gets SIGTERM only once it is off the list,
-// so that it answers what was sent meanwhile; when it ends by itself, it is taken off at once.
+// Run registers a server, and runs it if there is a command. The command gets SIGTERM only after the server is off the
+// list, so that it can answer the requests that arrive meanwhile. A server that exits by itself is removed at once.
 func (c *registerCmd) Run(a *app) error {
 	faults, err := fault.Open(c.Faults)
 	if err != nil {
@@ -47,7 +48,7 @@
 	}
 	server := exec.Command(command[0], command[1:]...)
 	server.Stdout, server.Stderr = a.out, a.errOut
-	server.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a signal from the terminal is this command's to pass on
+	server.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // signals from the terminal reach only this command, which drains first
 	if err := server.Start(); err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
@@ -58,7 +59,7 @@
 	deregistered := make(chan error, 1)
 	go func() { deregistered <- registration.Run(ctx) }()
 	select {
-	case err := <-exited: // the server has ended: there is nothing to drain
+	case err := <-exited: // the server has exited, so there is nothing to drain
 		registration.ServerExited()
 		cancel()
 		return errors.Join(<-deregistered, serverError(err))
@@ -70,7 +71,7 @@
 	}
 }
 
-// serverError is how the server ended; at SIGTERM it may end by the signal.
+// serverError returns an error if the server failed. Termination by SIGTERM is not a failure.
 func serverError(err error) error {
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
@@ -79,7 +80,7 @@
 		}
 	}
 	if err != nil {
-		return fmt.Errorf("register: the server ended with %w", err)
+		return fmt.Errorf("register: run server: %w", err)
 	}
 	return nil
 }
--- a/cmd/marblelane/registry_add_copy.go
+++ b/cmd/marblelane/registry_add_copy.go
@@ -8,12 +8,12 @@
 	"marblelane/internal/registry/listserver"
 )
 
-// registryAddCopy makes a copy a member of the cluster.
+// registryAddCopy adds a replica to the cluster.
 type registryAddCopy struct {
 	replicaClient
-	Name  string `arg:"" help:"The copy's name."`
-	Raft  string `arg:"" help:"HOST:PORT where it talks to the other copies."`
-	Serve string `arg:"" help:"HOST:PORT where it serves."`
+	Name  string `arg:"" help:"Name of the replica."`
+	Raft  string `arg:"" help:"HOST:PORT of the replica's raft traffic."`
+	Serve string `arg:"" help:"HOST:PORT where the replica serves the list."`
 }
 
 func (c *registryAddCopy) Run(a *app) error {
--- a/cmd/marblelane/registry_client.go
+++ b/cmd/marblelane/registry_client.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// replicaClient is the copy to query.
+// replicaClient sends requests to a replica of the list service.
 type replicaClient struct {
-	Addr string        `help:"Address of a copy." default:"127.0.0.1:8500" placeholder:"HOST:PORT"`
-	Wait time.Duration `help:"How long an answer may take." default:"10s"`
+	Addr string        `help:"Address of a replica." default:"127.0.0.1:8500" placeholder:"HOST:PORT"`
+	Wait time.Duration `help:"Maximum time to wait for a response." default:"10s"`
 }
 
-// call asks the copy and gives the body of a good answer.
+// call sends a request and returns the response body. A status other than 2xx is an error.
 func (r *replicaClient) call(a *app, method, path string, body []byte) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(a.ctx, method, "http://"+r.Addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -30,12 +30,12 @@
 	if resp.StatusCode/100 != 2 {
 		defer resp.Body.Close()
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
-		return nil, fmt.Errorf("%s answers %s: %s", r.Addr, resp.Status, bytes.TrimSpace(text))
+		return nil, fmt.Errorf("%s: response status %s: %s", r.Addr, resp.Status, bytes.TrimSpace(text))
 	}
 	return resp.Body, nil
 }
 
-// printResponse asks and prints the answer.
+// printResponse sends a request and prints the response body.
 func (r *replicaClient) printResponse(a *app, method, path string, body []byte) error {
 	response, err := r.call(a, method, path, body)
 	if err != nil {
@@ -50,7 +50,8 @@
 
 const instancesPath = "/registry/instances"
 
-// instancePath is the path of one entry, on a condition if there is one.
+// instancePath returns the path of an action on one entry. A condition of 0 or more is the revision that the entry
+// must have.
 func instancePath(uid, action string, condition int64) string {
 	path := instancesPath + "/" + url.PathEscape(uid) + action
 	if condition >= 0 {
--- a/cmd/marblelane/registry_drain.go
+++ b/cmd/marblelane/registry_drain.go
@@ -3,8 +3,8 @@
 // registryDrain marks a server Terminating.
 type registryDrain struct {
 	replicaClient
-	UID string `arg:"" help:"The server's name."`
-	If  int64  `help:"Only if its last change has this revision; -1: in any case." default:"-1"`
+	UID string `arg:"" help:"Name of the server."`
+	If  int64  `help:"Apply only if the last change of the entry has this revision; -1 applies always." default:"-1"`
 }
 
 func (c *registryDrain) Run(a *app) error {
--- a/cmd/marblelane/registry_put.go
+++ b/cmd/marblelane/registry_put.go
@@ -11,15 +11,15 @@
 // registryPut registers a server or changes its entry.
 type registryPut struct {
 	replicaClient
-	UID      string        `arg:"" help:"The server's name, its own and lasting."`
-	Endpoint string        `arg:"" help:"HOST:PORT at which it serves."`
-	Zone     string        `help:"Its zone." placeholder:"NAME"`
-	Model    string        `help:"Its kind of machine." placeholder:"NAME"`
-	Pod      int           `help:"Its pod group." placeholder:"N"`
-	Boot     int64         `help:"When it started, as Unix time in milliseconds; 0: long ago." placeholder:"N"`
-	Capacity float64       `help:"Its relative size." default:"1"`
-	Lease    time.Duration `help:"It is taken off the list unless it is renewed within this time; 0: never." placeholder:"TIME"`
-	If       int64         `help:"Only if its last change has this revision (0: it is not listed); -1: in any case." default:"-1"`
+	UID      string        `arg:"" help:"Unique name of the server, the same across restarts."`
+	Endpoint string        `arg:"" help:"HOST:PORT at which the server accepts requests."`
+	Zone     string        `help:"Zone of the server." placeholder:"NAME"`
+	Model    string        `help:"Machine model of the server." placeholder:"NAME"`
+	Pod      int           `help:"Pod group of the server." placeholder:"N"`
+	Boot     int64         `help:"When the server started, as Unix time in milliseconds; 0 means long ago." placeholder:"N"`
+	Capacity float64       `help:"Relative capacity of the server." default:"1"`
+	Lease    time.Duration `help:"Time without a renewal after which the server is removed from the list; 0 means never." placeholder:"TIME"`
+	If       int64         `help:"Apply only if the last change of the entry has this revision (0: not listed); -1 applies always." default:"-1"`
 }
 
 func (c *registryPut) Run(a *app) error {
--- a/cmd/marblelane/registry_remove.go
+++ b/cmd/marblelane/registry_remove.go
@@ -1,10 +1,10 @@
 package main
 
-// registryRemove takes a server off the list.
+// registryRemove removes a server from the list.
 type registryRemove struct {
 	replicaClient
-	UID string `arg:"" help:"The server's name."`
-	If  int64  `help:"Only if its last change has this revision; -1: in any case." default:"-1"`
+	UID string `arg:"" help:"Name of the server."`
+	If  int64  `help:"Apply only if the last change of the entry has this revision; -1 applies always." default:"-1"`
 }
 
 func (c *registryRemove) Run(a *app) error {
--- a/cmd/marblelane/registry_remove_copy.go
+++ b/cmd/marblelane/registry_remove_copy.go
@@ -2,10 +2,10 @@
 
 import "net/url"
 
-// registryRemoveCopy takes a copy out of the cluster.
+// registryRemoveCopy removes a replica from the cluster.
 type registryRemoveCopy struct {
 	replicaClient
-	Name string `arg:"" help:"The copy's name."`
+	Name string `arg:"" help:"Name of the replica."`
 }
 
 func (c *registryRemoveCopy) Run(a *app) error {
--- a/cmd/marblelane/registry_replace_copy.go
+++ b/cmd/marblelane/registry_replace_copy.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	replaceRetryInterval = 100 * time.Millisecond // between two looks
-	// recentAck is how lately a copy must have acknowledged something for it to be at work.
+	replaceRetryInterval = 100 * time.Millisecond // time between two attempts of a step
+	// recentAck is the age of its last acknowledgement below which a replica counts as alive.
 	recentAck = 2 * time.Second
 )
 
-// registryReplaceCopy puts a copy in another one's place.
+// registryReplaceCopy replaces a replica of the cluster with another one.
 type registryReplaceCopy struct {
 	replicaClient
-	Old    string        `arg:"" help:"Name of the copy that goes, or that went and that membership knows to be gone."`
-	New    string        `arg:"" help:"Name of the one that comes; it runs already, started with join."`
-	Raft   string        `arg:"" help:"HOST:PORT where the new one talks to the other copies."`
-	Serve  string        `arg:"" help:"HOST:PORT where the new one serves."`
-	Force  bool          `help:"Also if the old copy is alive."`
-	Within time.Duration `help:"How long it may take; asked for again it goes on where it was." default:"1m"`
+	Old    string        `arg:"" help:"Name of the replica to remove, or of one already removed that membership knows to be gone."`
+	New    string        `arg:"" help:"Name of the new replica; it must run already, started with join."`
+	Raft   string        `arg:"" help:"HOST:PORT of the new replica's raft traffic."`
+	Serve  string        `arg:"" help:"HOST:PORT where the new replica serves the list."`
+	Force  bool          `help:"Replace the old replica even if it is alive."`
+	Within time.Duration `help:"Time limit; a later run of the command continues where this one stopped." default:"1m"`
 }
 
-// errPermanent reports what no later attempt can change.
+// errPermanent is the base of errors that a retry cannot resolve.
 var errPermanent = errors.New("replace-copy")
 
-// Run takes one step after the other, each from the leader's status at that time: so it may end anywhere, and a second
-// run continues.
+// Run takes one step at a time, each based on the leader's current status. It may be interrupted at any step, and a
+// second run continues.
 func (c *registryReplaceCopy) Run(a *app) error {
 	if c.Old == c.New {
-		return fmt.Errorf("%w: OLD and NEW are both %q: a copy comes back under another name", errPermanent, c.Old)
+		return fmt.Errorf("%w: OLD and NEW are both %q: the new replica needs another name", errPermanent, c.Old)
 	}
 	ctx, cancel := context.WithTimeout(a.ctx, c.Within)
 	defer cancel()
@@ -54,30 +54,30 @@
 		}
 		if err != nil && ctx.Err() == nil {
 			pending = err.Error()
-			r.printOnce("waits: " + pending)
+			r.printOnce("waiting for: " + pending)
 		}
 		select {
 		case <-a.ctx.Done():
-			return r.withProgress(fmt.Errorf("%w: ended before it was done, ask again to go on", errPermanent))
+			return r.withProgress(fmt.Errorf("%w: interrupted, run again to continue", errPermanent))
 		case <-ctx.Done():
-			return r.withProgress(fmt.Errorf("%w: not done within %v, ask again to go on; it waited for: %s", errPermanent, c.Within,
+			return r.withProgress(fmt.Errorf("%w: not done within %v, run again to continue; waited for: %s", errPermanent, c.Within,
 				pending))
 		case <-time.After(replaceRetryInterval):
 		}
 	}
 }
 
-// replacement is a replacement under way.
+// replacement is the progress of one run of replace-copy.
 type replacement struct {
 	*registryReplaceCopy
 	a              *app
-	target         uint64          // what the new copy has to have applied; 0: not looked at yet
-	printed        map[string]bool // lines, without their figures
-	learnerAdded   bool            // the new copy may be one without a vote
-	unacknowledged bool            // ... and has acknowledged nothing to the leader
+	target         uint64          // index that the new replica must have applied to get its vote; 0 means not set yet
+	printed        map[string]bool // lines already printed, without their digits
+	learnerAdded   bool            // the new replica may have been added without a vote
+	unacknowledged bool            // the new replica has acknowledged nothing to the leader
 }
 
-// printOnce prints a line once, not at each attempt; numbers in it may change meanwhile.
+// printOnce prints a line once, not at each attempt. Lines that differ only in their digits count as the same.
 func (r *replacement) printOnce(line string) {
 	key := strings.Map(func(c rune) rune {
 		if unicode.IsDigit(c) {
@@ -91,20 +91,20 @@
 	}
 }
 
-// withProgress adds to an error what the replacement has changed so far.
+// withProgress adds to an error what the replacement has changed so far and how to undo it.
 func (r *replacement) withProgress(err error) error {
 	if err == nil || !r.learnerAdded {
 		return err
 	}
-	mute := ""
+	ackNote := ""
 	if r.unacknowledged {
-		mute = fmt.Sprintf(", and has acknowledged nothing at %s", r.Raft)
+		ackNote = fmt.Sprintf(", and has acknowledged nothing at %s", r.Raft)
 	}
-	return fmt.Errorf("%w\n%s stays as a copy without a vote%s; to take it away: "+
-		"marblelane registry remove-copy %s --addr %s", err, r.New, mute, r.New, r.Addr)
+	return fmt.Errorf("%w\n%s remains a replica without a vote%s; to remove it: "+
+		"marblelane registry remove-copy %s --addr %s", err, r.New, ackNote, r.New, r.Addr)
 }
 
-// step takes the next step, if it can be taken yet.
+// step takes the next step of the replacement. An error that is not errPermanent is what it waits for.
 func (r *replacement) step() (done bool, err error) {
 	leader, st, err := r.findLeader()
 	if err != nil {
@@ -115,24 +115,24 @@
 	r.learnerAdded, r.unacknowledged = newFound && !added.Votes, added.AckMS < 0
 	switch {
 	case newFound && added.Raft != r.Raft:
-		return false, fmt.Errorf("%w: copy %s is at %s, not at %s", errPermanent, r.New, added.Raft, r.Raft)
+		return false, fmt.Errorf("%w: replica %s is at %s, not at %s", errPermanent, r.New, added.Raft, r.Raft)
 	case !oldFound && added.Votes:
 		return r.confirmReplaced(leader)
-	case !oldFound: // it goes last
-		return false, fmt.Errorf("%w: %s is no copy", errPermanent, r.Old)
+	case !oldFound: // the old replica is removed last, so it must still be there
+		return false, fmt.Errorf("%w: %s is not a replica", errPermanent, r.Old)
 	}
 	if reason := aliveReason(old); reason != "" && !r.Force {
-		if old.Member == membership.Removed { // just now
+		if old.Member == membership.Removed { // it ended a moment ago, and its last acknowledgement is still recent
 			return false, fmt.Errorf("%s to be silent: %s", r.Old, reason)
 		}
-		return false, fmt.Errorf("%w: %s is at work, %s; --force replaces it all the same", errPermanent, r.Old, reason)
+		return false, fmt.Errorf("%w: %s is alive: %s; --force replaces it anyway", errPermanent, r.Old, reason)
 	}
 	newStatus, err := r.status(r.Serve)
 	switch {
 	case err != nil:
-		return false, fmt.Errorf("%s does not run: %w", r.New, err)
+		return false, fmt.Errorf("%s is not running: %w", r.New, err)
 	case newStatus.Name != r.New:
-		return false, fmt.Errorf("%w: at %s answers copy %q, not %s", errPermanent, r.Serve, newStatus.Name, r.New)
+		return false, fmt.Errorf("%w: at %s runs replica %q, not %s", errPermanent, r.Serve, newStatus.Name, r.New)
 	}
 	switch {
 	case !newFound:
@@ -140,7 +140,7 @@
 		if err != nil {
 			return false, fmt.Errorf("%w: %w", errPermanent, err)
 		}
-		r.printOnce(fmt.Sprintf("%s learns (membership says of %s: %s)", r.New, r.Old, old.Member))
+		r.printOnce(fmt.Sprintf("adding %s as a learner (membership state of %s: %s)", r.New, r.Old, old.Member))
 		err = r.post(leader, r.New, "/learn", body)
 		r.learnerAdded, r.unacknowledged = err == nil || !strings.Contains(err.Error(), " 409 "), true
 		return false, err
@@ -151,23 +151,24 @@
 		if newStatus.Applied < r.target || newStatus.Leader == "" {
 			return false, fmt.Errorf("%s to catch up with what is committed", r.New)
 		}
-		r.printOnce(r.New + " has caught up and gets its vote")
+		r.printOnce(r.New + " has caught up, adding it as a voter")
 		return false, r.post(leader, r.New, "/promote", nil)
 	}
-	r.printOnce(r.Old + " goes")
+	r.printOnce(r.Old + " is being removed")
 	if err := r.post(leader, r.Old, "/retire", nil); err != nil {
 		return false, err
 	}
-	return r.finish() // the copy that is queried may be the old one, which knows no leader any more
+	return r.finish() // no further query: the replica at --addr may be the old one, which no longer knows a leader
 }
 
+// finish prints that the replacement is complete.
 func (r *replacement) finish() (bool, error) {
-	fmt.Fprintf(r.a.out, "%s is in the place of %s\n", r.New, r.Old)
+	fmt.Fprintf(r.a.out, "%s has replaced %s\n", r.New, r.Old)
 	return true, nil
 }
 
-// confirmReplaced distinguishes a replacement that has been done before from a wrong name. The cluster keeps nothing of a copy that
-// went; it was one if the leader's membership knows it as a list copy that is not there any more.
+// confirmReplaced distinguishes a replacement that an earlier run has completed from a wrong name. The cluster keeps no
+// record of a removed replica. OLD was one if the leader's membership lists it with the role list as gone or silent.
 func (r *replacement) confirmReplaced(leader string) (bool, error) {
 	client := replicaClient{Addr: leader, Wait: r.Wait}
 	if body, err := client.call(r.a, "GET", "/members", nil); err == nil {
@@ -186,21 +187,22 @@
 			return r.finish()
 		}
 	}
-	return false, fmt.Errorf("%w: nothing to do: %s is no copy, nor one that membership knows to have gone, and %s has "+
-		"its vote", errPermanent, r.Old, r.New)
+	return false, fmt.Errorf("%w: nothing to do: %s is not a replica, nor one that membership knows to be gone, and %s is "+
+		"already a voter", errPermanent, r.Old, r.New)
 }
 
-// aliveReason tells why a copy is taken for alive; empty: it is not.
+// aliveReason returns why a replica counts as alive, or an empty string if it does not.
 func aliveReason(c listserver.ReplicaStatus) string {
 	switch {
 	case c.Member == membership.Alive, c.Member == membership.Suspected:
-		return "membership says " + string(c.Member)
+		return "membership state " + string(c.Member)
 	case c.AckMS >= 0 && c.AckMS < recentAck.Milliseconds():
-		return fmt.Sprintf("it answered the leader %d ms ago", c.AckMS)
+		return fmt.Sprintf("it acknowledged the leader %d ms ago", c.AckMS)
 	}
 	return ""
 }
 
+// findReplica returns the replica of this name.
 func findReplica(all []listserver.ReplicaStatus, name string) (listserver.ReplicaStatus, bool) {
 	i := slices.IndexFunc(all, func(c listserver.ReplicaStatus) bool { return c.Name == name })
 	if i < 0 {
@@ -209,7 +211,7 @@
 	return all[i], true
 }
 
-// findLeader gets the leader from the copy, and the status from the leader.
+// findLeader requests the leader's address from the replica at --addr, and the status from the leader.
 func (r *replacement) findLeader() (string, *listserver.Status, error) {
 	st, err := r.status(r.Addr)
 	if err != nil || st.Leads {
@@ -225,6 +227,7 @@
 	return leader, st, err
 }
 
+// status requests the status of the replica at addr.
 func (r *replacement) status(addr string) (*listserver.Status, error) {
 	client := replicaClient{Addr: addr, Wait: r.Wait}
 	body, err := client.call(r.a, "GET", "/registry/status", nil)
@@ -239,6 +242,7 @@
 	return &st, nil
 }
 
+// post sends a membership change of the replica name to the leader at addr.
 func (r *replacement) post(addr, name, action string, body []byte) error {
 	client := replicaClient{Addr: addr, Wait: r.Wait}
 	response, err := client.call(r.a, "POST", "/registry/copies/"+url.PathEscape(name)+action, body)
@@ -246,7 +250,7 @@
 		return response.Close()
 	}
 	if strings.Contains(err.Error(), " 404 ") {
-		return fmt.Errorf("%w: the leader is of an earlier version: %w", errPermanent, err)
+		return fmt.Errorf("%w: the leader runs an earlier version: %w", errPermanent, err)
 	}
 	return err
 }
--- a/cmd/marblelane/registry_replace_copy_test.go
+++ b/cmd/marblelane/registry_replace_copy_test.go
@@ -23,14 +23,14 @@
 	"marblelane/internal/registry/listserver"
 )
 
-// replicaProcess is a copy in a process of its own, with the section members.
+// replicaProcess is a replica in its own process, with membership enabled.
 type replicaProcess struct {
 	listserver.Peer
 	cmd *exec.Cmd
 }
 
-// freeAddrs gives addresses that are kept for the test: others that are configured with them have to know them before the
-// start, and runs of the lab in other tests must not take them meanwhile.
+// freeAddrs reserves addresses for the test: the configurations need them before the processes start, and lab runs of
+// other tests must not take them meanwhile.
 func freeAddrs(t *testing.T, n int) (out []string) {
 	t.Helper()
 	for range n {
@@ -42,7 +42,7 @@
 	return out
 }
 
-// startReplicas starts some that found a cluster, and one that waits to join it.
+// startReplicas starts n replicas that found a cluster, and one that waits to join it.
 func startReplicas(t *testing.T, n int) (all []*replicaProcess, fresh *replicaProcess) {
 	t.Helper()
 	at := freeAddrs(t, 3*(n+1))
@@ -71,8 +71,8 @@
 
 func (c *replicaProcess) status(t *testing.T) (st listserver.Status) {
 	t.Helper()
-	var out, said bytes.Buffer
-	if run(t.Context(), []string{"registry", "status", "--addr", c.Serve}, &out, &said) == exitOK {
+	var out, errOut bytes.Buffer
+	if run(t.Context(), []string{"registry", "status", "--addr", c.Serve}, &out, &errOut) == exitOK {
 		require.NoError(t, json.Unmarshal(out.Bytes(), &st))
 	}
 	return st
@@ -113,44 +113,44 @@
 		return l
 	}
 	l := lead()
-	old, left := all[0], all[1]
+	old, other := all[0], all[1]
 	if old == l {
-		old, left = left, old
+		old, other = other, old
 	}
 	replace := func(want int, part string, c *replicaProcess, more ...string) {
 		t.Helper()
-		var out, said bytes.Buffer
+		var out, errOut bytes.Buffer
 		args := append([]string{"registry", "replace-copy", "--addr", l.Serve, old.Name, c.Name, c.Raft, c.Serve}, more...)
-		code := run(t.Context(), args, &out, &said)
-		require.Equal(t, want, code, "%s%s", &out, &said)
-		require.Contains(t, out.String()+said.String(), part)
+		code := run(t.Context(), args, &out, &errOut)
+		require.Equal(t, want, code, "%s%s", &out, &errOut)
+		require.Contains(t, out.String()+errOut.String(), part)
 	}
 	wait("all of them", func() bool {
-		return l.memberState(t, old.Name) == membership.Alive && l.memberState(t, left.Name) == membership.Alive
+		return l.memberState(t, old.Name) == membership.Alive && l.memberState(t, other.Name) == membership.Alive
 	})
-	replace(exitUsage, "is at work, membership says alive", fresh)
-	require.Len(t, l.status(t).Replicas, 3, "nothing was begun")
-	// Frozen it is silent, which is no proof; killed its address refuses.
+	replace(exitUsage, "is alive: membership state alive", fresh)
+	require.Len(t, l.status(t).Replicas, 3, "nothing was changed")
+	// A frozen replica is silent, which does not prove that it ended. Once it is killed, its address refuses connections.
 	require.NoError(t, old.cmd.Process.Signal(syscall.SIGSTOP))
 	wait("its silence", func() bool { return l.memberState(t, old.Name) == membership.Unreachable })
 	require.NoError(t, old.cmd.Process.Kill())
 	wait("its end", func() bool { return l.memberState(t, old.Name) == membership.Removed })
-	// One that does not run is not waited for with the cluster at risk: it never gets to vote.
+	// A new replica that does not run is never added, so that it cannot put the majority at risk.
 	notRunning := &replicaProcess{Peer: listserver.Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "127.0.0.1:1"}}
-	replace(exitUsage, "r9 does not run", notRunning, "--within", "4s")
+	replace(exitUsage, "r9 is not running", notRunning, "--within", "4s")
 	require.Len(t, l.status(t).Replicas, 3)
-	// Ended half-way, and run again.
+	// The command is interrupted half-way and run again.
 	ctx, cancel := context.WithCancel(t.Context())
-	var out, said bytes.Buffer
+	var out, errOut bytes.Buffer
 	ended := make(chan int)
 	go func() {
 		args := []string{"registry", "replace-copy", "--addr", l.Serve, old.Name, fresh.Name, fresh.Raft, fresh.Serve}
-		ended <- run(ctx, args, &out, &said)
+		ended <- run(ctx, args, &out, &errOut)
 	}()
 	wait("the first step", func() bool { _, started := findReplica(l.status(t).Replicas, fresh.Name); return started })
 	cancel()
 	<-ended
-	done := fmt.Sprintf("%s is in the place of %s\n", fresh.Name, old.Name)
+	done := fmt.Sprintf("%s has replaced %s\n", fresh.Name, old.Name)
 	replace(exitOK, done, fresh)
 	replace(exitOK, done, fresh)
 	st := l.status(t)
@@ -161,12 +161,12 @@
 	_, there := findReplica(st.Replicas, old.Name)
 	require.False(t, there)
 	put := []string{"registry", "put", "s-1", "127.0.0.1:81", "--addr", fresh.Serve}
-	require.Equal(t, exitOK, run(t.Context(), put, &out, &said))
+	require.Equal(t, exitOK, run(t.Context(), put, &out, &errOut))
 	old = l
-	replace(exitUsage, "is at work", notRunning) // the leader itself
+	replace(exitUsage, "is alive: ", notRunning) // the leader itself
 }
 
-// What is wrong is found before anything is changed, or is said with what stays of it.
+// Invalid arguments are rejected before anything is changed, or the error names what was changed.
 func TestReplaceCopy_invalid(t *testing.T) {
 	all, fresh := startReplicas(t, 3)
 	at := all[0].Serve
@@ -177,15 +177,15 @@
 	}, 20*time.Second, 10*time.Millisecond)
 	replace := func(old string, c listserver.Peer, more ...string) string {
 		t.Helper()
-		var out, said bytes.Buffer
+		var out, errOut bytes.Buffer
 		args := append([]string{"registry", "replace-copy", "--addr", at, old, c.Name, c.Raft, c.Serve, "--force"}, more...)
-		require.Equal(t, exitUsage, run(t.Context(), args, &out, &said), "%s%s", &out, &said)
-		return out.String() + said.String()
+		require.Equal(t, exitUsage, run(t.Context(), args, &out, &errOut), "%s%s", &out, &errOut)
+		return out.String() + errOut.String()
 	}
-	require.Contains(t, replace("typo", all[1].Peer), "nothing to do: typo is no copy")
+	require.Contains(t, replace("typo", all[1].Peer), "nothing to do: typo is not a replica")
 	elsewhere := fresh.Peer
 	elsewhere.Serve = all[1].Serve
-	require.Contains(t, replace(all[2].Name, elsewhere), `answers copy "r1", not r3`)
+	require.Contains(t, replace(all[2].Name, elsewhere), `runs replica "r1", not r3`)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	wrong := fresh.Peer
@@ -193,20 +193,20 @@
 	require.NoError(t, l.Close())
 	text := replace(all[2].Name, wrong, "--within", "2s")
 	require.Contains(t, text, "nobody answers at "+wrong.Raft)
-	require.NotContains(t, text, "stays")
-	require.Equal(t, 1, strings.Count(text, "r3 learns"), text)
+	require.NotContains(t, text, "remains")
+	require.Equal(t, 1, strings.Count(text, "adding r3 as a learner"), text)
 	require.Len(t, all[0].status(t).Replicas, 3)
-	// There is somebody, who is no copy.
+	// A process that is not a replica listens at the address.
 	l, err = net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
 	wrong.Raft = l.Addr().String()
 	for range 2 { // a second run reports it, too
 		text = replace(all[2].Name, wrong, "--within", "2s")
-		require.Contains(t, text, "r3 stays as a copy without a vote, and has acknowledged nothing at "+wrong.Raft)
+		require.Contains(t, text, "r3 remains a replica without a vote, and has acknowledged nothing at "+wrong.Raft)
 	}
-	_, command, _ := strings.Cut(strings.TrimSpace(text), "to take it away: marblelane ")
-	var out, said bytes.Buffer
-	require.Equal(t, exitOK, run(t.Context(), strings.Fields(command), &out, &said), "%s%s", &out, &said)
+	_, command, _ := strings.Cut(strings.TrimSpace(text), "to remove it: marblelane ")
+	var out, errOut bytes.Buffer
+	require.Equal(t, exitOK, run(t.Context(), strings.Fields(command), &out, &errOut), "%s%s", &out, &errOut)
 	require.Eventually(t, func() bool { return len(all[0].status(t).Replicas) == 3 }, 20*time.Second, 10*time.Millisecond)
 }
--- a/cmd/marblelane/registry_restore.go
+++ b/cmd/marblelane/registry_restore.go
@@ -12,13 +12,13 @@
 
 // registryRestore founds a cluster from a backup.
 type registryRestore struct {
-	File   string `arg:"" help:"Backup, as snapshot writes it." type:"path"`
-	Config string `help:"Configuration of the copy that founds the cluster, in TOML." required:"" type:"path" placeholder:"FILE"`
-	Above  int64  `help:"A revision or an epoch that clients have seen, where the backup's is not the highest." placeholder:"N"`
-	Force  bool   `help:"Also if something answers where the configuration's copies serve."`
+	File   string `arg:"" help:"Backup file that snapshot has written." type:"path"`
+	Config string `help:"Configuration of the replica that founds the cluster, in TOML." required:"" type:"path" placeholder:"FILE"`
+	Above  int64  `help:"Revision or epoch that clients have seen, if it is higher than the backup's." placeholder:"N"`
+	Force  bool   `help:"Restore even if something answers at the addresses of the configured replicas."`
 }
 
-// restoreProbeTimeout is how long each of the configuration's copies may take to show that it runs.
+// restoreProbeTimeout is the time within which a configured replica that still runs must answer.
 const restoreProbeTimeout = time.Second
 
 func (c *registryRestore) Run(a *app) error {
@@ -27,7 +27,7 @@
 		return err
 	}
 	if c.Above < 0 {
-		return fmt.Errorf("--above %d: is negative", c.Above)
+		return fmt.Errorf("--above %d: must not be negative", c.Above)
 	}
 	f, err := os.Open(c.File)
 	if err != nil {
@@ -35,14 +35,14 @@
 	}
 	defer f.Close()
 	if running := recovery.RunningReplicas(cfg.Endpoints(), restoreProbeTimeout); len(running) > 0 && !c.Force {
-		return fmt.Errorf("restore: %s still answers; end the old cluster first, or it may take the new one over; "+
-			"--force restores all the same", strings.Join(running, ", "))
+		return fmt.Errorf("restore: %s still answers; stop the old cluster first, or it may take over the new one; "+
+			"--force restores anyway", strings.Join(running, ", "))
 	}
 	restored, err := recovery.Restore(f, cfg.RecoveryTarget(), c.Above, cfg.Faults.Now())
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(a.out, "%d entries of revision %d are epoch %d in %s\n"+
-		"start %s, then the others with empty folders and join = true, and add-copy each\n", restored.Entries, restored.BackupRev, restored.Epoch, cfg.Dir, cfg.Name)
+	fmt.Fprintf(a.out, "restored %d entries of revision %d as epoch %d in %s\n"+
+		"start %s, then the other replicas with empty folders and join = true, and run add-copy for each\n", restored.Entries, restored.BackupRev, restored.Epoch, cfg.Dir, cfg.Name)
 	return nil
 }
--- a/cmd/marblelane/registry_serve.go
+++ b/cmd/marblelane/registry_serve.go
@@ -10,9 +10,9 @@
 	"marblelane/internal/registry"
 )
 
-// registryServe runs one copy of the list service.
+// registryServe runs a replica of the list service.
 type registryServe struct {
-	Config string `help:"Configuration of this copy, in TOML." required:"" type:"path" placeholder:"FILE"`
+	Config string `help:"Configuration of this replica, in TOML." required:"" type:"path" placeholder:"FILE"`
 }
 
 func (c *registryServe) Run(a *app) error {
@@ -39,10 +39,10 @@
 			case <-reload:
 				fresh, err := registry.LoadConfig(c.Config)
 				if err != nil {
-					a.log.Error("reload: the configuration stays as it was", "error", err)
+					a.log.Error("reload: failed to read the configuration, keeping the current one", "error", err)
 					continue
 				}
-				a.log.Info("reload: rates, times, shares and the operators' file are taken in; names, addresses and folder need a new start")
+				a.log.Info("reload: applied rates, times, shares and the operators' file; changed names, addresses or folder require a restart")
 				supervisor.Reload(fresh.Options)
 			}
 		}
--- a/cmd/marblelane/registry_snapshot.go
+++ b/cmd/marblelane/registry_snapshot.go
@@ -9,15 +9,15 @@
 	"path/filepath"
 )
 
-// registrySnapshot writes the whole state to a file.
+// registrySnapshot writes a backup of the whole state to a file.
 type registrySnapshot struct {
 	replicaClient
-	File string `arg:"" help:"File to write; it must not be there yet." type:"path"`
+	File string `arg:"" help:"File to write; it must not exist yet." type:"path"`
 }
 
 func (c *registrySnapshot) Run(a *app) error {
 	if _, err := os.Stat(c.File); !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("%s: is there already; name a file that is not", c.File)
+		return fmt.Errorf("snapshot: %s already exists; name a new file", c.File)
 	}
 	response, err := c.call(a, "GET", "/registry/snapshot", nil)
 	if err != nil {
@@ -29,7 +29,7 @@
 		return fmt.Errorf("--addr %s: %w", c.Addr, err)
 	}
 	if !json.Valid(data) {
-		return fmt.Errorf("--addr %s: the snapshot was cut short; take it again", c.Addr)
+		return fmt.Errorf("--addr %s: snapshot was cut short; run the command again", c.Addr)
 	}
 	temp, err := os.CreateTemp(filepath.Dir(c.File), ".snapshot-")
 	if err != nil {
@@ -40,7 +40,7 @@
 	if err = errors.Join(err, temp.Sync(), temp.Close()); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	if err := os.Link(temp.Name(), c.File); err != nil { // fails where the file has appeared meanwhile
+	if err := os.Link(temp.Name(), c.File); err != nil { // fails if the file was created meanwhile
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	fmt.Fprintf(a.out, "%d bytes in %s\n", len(data), c.File)
--- a/cmd/marblelane/registry_state_test.go
+++ b/cmd/marblelane/registry_state_test.go
@@ -17,7 +17,7 @@
 	"marblelane/internal/registry/state"
 )
 
-// writeConfig writes the configuration of a cluster of one copy with a folder, and gives its path.
+// writeConfig writes the configuration of a cluster of one replica with a folder and returns its path.
 func writeConfig(t *testing.T, listen, raft, data string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "one.toml")
@@ -26,7 +26,7 @@
 	return path
 }
 
-// putEntry registers the server s-1 as soon as the copy leads.
+// putEntry registers the server s-1 as soon as the replica leads.
 func putEntry(t *testing.T, addr string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -35,7 +35,7 @@
 	}, 20*time.Second, 10*time.Millisecond)
 }
 
-// epochAt gives the epoch of the revision that a copy shows once it leads.
+// epochAt waits until a replica leads and returns the epoch of its revision.
 func epochAt(t *testing.T, addr string) int64 {
 	t.Helper()
 	var status listserver.Status
@@ -100,15 +100,15 @@
 	config := writeConfig(t, at[0], at[1], fresh)
 	code, _, errOut = execute(t, "registry", "restore", backup, "--config", config)
 	assert.Equal(t, exitUsage, code)
-	assert.Contains(t, errOut, "restore: one at "+at[0]+" still answers; end the old cluster first")
+	assert.Contains(t, errOut, "restore: one at "+at[0]+" still answers; stop the old cluster first")
 	assert.NoDirExists(t, fresh, "a refused restore writes nothing")
 
 	require.NoError(t, oldCopy.Process.Kill())
 	_ = oldCopy.Wait()
 	code, out, errOut := execute(t, "registry", "restore", backup, "--config", config)
 	require.Equal(t, exitOK, code, errOut)
-	assert.Contains(t, out, "1 entries of revision ")
-	assert.Contains(t, out, "start one, then the others")
+	assert.Contains(t, out, "restored 1 entries of revision ")
+	assert.Contains(t, out, "start one, then the other replicas")
 	addr, _ = startReplica(t, config)
 	assert.Greater(t, epochAt(t, addr), before)
 	code, out, errOut = execute(t, "registry", "list", "--addr", addr)
@@ -125,7 +125,7 @@
 		`"state":"Ready"},"changed":268435457}],"members":{"old":"127.0.0.1:2"}}`), 0o644))
 	code, out, errOut := execute(t, "registry", "restore", backup, "--config", config)
 	require.Equal(t, exitOK, code, errOut)
-	assert.Contains(t, out, "1 entries of revision 268435457 are epoch ")
+	assert.Contains(t, out, "restored 1 entries of revision 268435457 as epoch ")
 	code, _, errOut = execute(t, "registry", "restore", backup, "--config", config)
 	assert.Equal(t, exitUsage, code)
 	assert.Contains(t, errOut, "already has state")
--- a/cmd/marblelane/registry_test.go
+++ b/cmd/marblelane/registry_test.go
@@ -22,7 +22,7 @@
 	"marblelane/internal/registry/state"
 )
 
-// startReplica starts a real copy with a configuration and gives where it serves.
+// startReplica starts a real replica with a configuration and returns the address where it serves.
 func startReplica(t *testing.T, config string) (string, *exec.Cmd) {
 	t.Helper()
 	cmd := marblelane("registry", "serve", "--config", config)
@@ -31,7 +31,7 @@
 
 func TestRegistryCommands(t *testing.T) {
 	dir := t.TempDir()
-	l, err := net.Listen("tcp", "127.0.0.1:0") // raft has to come back at the same address
+	l, err := net.Listen("tcp", "127.0.0.1:0") // raft must use the same address after the restart
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,16 +45,16 @@
 	addr, cmd := startReplica(t, config)
 	do := func(want int, part string, args ...string) string {
 		t.Helper()
-		var out, said bytes.Buffer
-		code := run(t.Context(), append([]string{"registry"}, args...), &out, &said)
-		if code != want || !strings.Contains(out.String()+said.String(), part) {
-			t.Errorf("%v ends with %d\nout: %s\nerr: %s", args, code, out.String(), said.String())
+		var out, errOut bytes.Buffer
+		code := run(t.Context(), append([]string{"registry"}, args...), &out, &errOut)
+		if code != want || !strings.Contains(out.String()+errOut.String(), part) {
+			t.Errorf("%v: exit code %d\nout: %s\nerr: %s", args, code, out.String(), errOut.String())
 		}
 		return out.String()
 	}
-	require.Eventually(t, func() bool { // its election takes a moment
-		var out, said bytes.Buffer
-		run(t.Context(), []string{"registry", "status", "--addr", addr}, &out, &said)
+	require.Eventually(t, func() bool { // until it is elected
+		var out, errOut bytes.Buffer
+		run(t.Context(), []string{"registry", "status", "--addr", addr}, &out, &errOut)
 		return strings.Contains(out.String(), `"leads": true`) && !strings.Contains(out.String(), `"rev": 0`)
 	}, 20*time.Second, 10*time.Millisecond)
 	do(0, `"rev"`, "put", "s-1", "127.0.0.1:81", "--zone", "a", "--addr", addr, "--if", "0")
@@ -65,20 +65,20 @@
 	do(0, `"state":"Terminating"`, "list", "--addr", addr)
 	backup := filepath.Join(dir, "backup.json")
 	do(0, "bytes in", "snapshot", backup, "--addr", addr)
-	do(2, "is there already", "snapshot", backup, "--addr", addr)
+	do(2, "already exists", "snapshot", backup, "--addr", addr)
 	if data, err := os.ReadFile(backup); err != nil || !bytes.Contains(data, []byte("s-1")) {
 		t.Errorf("the backup is %s, %v", data, err)
 	}
-	// Killed and started again it has what was written.
+	// After a kill and a restart the written entry is still there.
 	sendSignal(t, cmd, syscall.SIGKILL)
 	_ = cmd.Wait()
 	addr, cmd = startReplica(t, config)
 	require.Eventually(t, func() bool {
-		var out, said bytes.Buffer
-		run(t.Context(), []string{"registry", "list", "--addr", addr}, &out, &said)
+		var out, errOut bytes.Buffer
+		run(t.Context(), []string{"registry", "list", "--addr", addr}, &out, &errOut)
 		return strings.Contains(out.String(), `"uid":"s-1"`)
 	}, 20*time.Second, 10*time.Millisecond)
-	// SIGHUP never ends it, with a good file or a bad one.
+	// SIGHUP does not end the process, even if the file is invalid.
 	if err := os.WriteFile(config, []byte(text+"nonsense = 1\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -88,12 +88,12 @@
 	do(2, "connection refused", "list", "--addr", raft[:strings.LastIndexByte(raft, ':')]+":1")
 	sendSignal(t, cmd, syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("at SIGTERM it ended with %v", err)
+		t.Errorf("exit after SIGTERM: %v", err)
 	}
 }
 
-// A process whose folder fails closes its copy and goes on: SIGHUP does not end it meanwhile, and the copy is back with
-// the folder. SIGTERM ends it in order, also while the folder fails.
+// A process whose folder fails closes its replica and keeps running: SIGHUP does not end it, and the replica serves
+// again once the folder works. SIGTERM ends the process orderly, even while the folder fails.
 func TestRegistryServe_failingDisk(t *testing.T) {
 	dir := t.TempDir()
 	config, faults := filepath.Join(dir, "one.toml"), filepath.Join(dir, "faults.toml")
@@ -102,9 +102,9 @@
 	require.NoError(t, os.WriteFile(config, []byte(text), 0o644))
 	addr, cmd := startReplica(t, config)
 	do := func(args ...string) (code int, out string) {
-		var said bytes.Buffer
-		code = run(t.Context(), append([]string{"registry"}, append(args, "--addr", addr)...), &said, &said)
-		return code, said.String()
+		var output bytes.Buffer
+		code = run(t.Context(), append([]string{"registry"}, append(args, "--addr", addr)...), &output, &output)
+		return code, output.String()
 	}
 	serves := func() {
 		t.Helper()
@@ -113,32 +113,32 @@
 			return code == 0
 		}, 20*time.Second, 10*time.Millisecond)
 	}
-	fail := func() {
+	failFolder := func() {
 		t.Helper()
 		require.NoError(t, fault.Config{Calls: map[string]string{fault.CallWrite: "ENOSPC"}}.Write(faults))
-		code, said := do("put", "lost", "127.0.0.1:82")
-		assert.Equal(t, 2, code, said)
+		code, output := do("put", "lost", "127.0.0.1:82")
+		assert.Equal(t, 2, code, output)
 		require.Eventually(t, func() bool {
-			_, said := do("status")
-			return strings.Contains(said, "connection refused")
+			_, output := do("status")
+			return strings.Contains(output, "connection refused")
 		}, 20*time.Second, 10*time.Millisecond)
 	}
 	serves()
-	fail()
+	failFolder()
 	sendSignal(t, cmd, syscall.SIGHUP)
 	require.NoError(t, fault.Config{}.Write(faults))
 	serves()
 	_, list := do("list")
 	assert.Contains(t, list, `"uid":"s-1"`)
 	assert.NotContains(t, list, `"uid":"lost"`)
-	fail()
+	failFolder()
 	sendSignal(t, cmd, syscall.SIGTERM)
 	assert.NoError(t, cmd.Wait())
 }
 
 func TestRegistryServe_invalidConfig(t *testing.T) {
 	good := "name = \"a\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\n"
-	for name, c := range map[string]struct{ text, says string }{
+	for name, c := range map[string]struct{ text, wantOutput string }{
 		"unknown key":  {good + "bat = 1\n", "c.toml:4: bat: unknown key"},
 		"no unit":      {good + "beat = \"5\"\n", "c.toml:4: beat:"},
 		"no name":      {"listen = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\n", "name: is missing"},
@@ -155,16 +155,16 @@
 			if err := os.WriteFile(path, []byte(c.text), 0o644); err != nil {
 				t.Fatal(err)
 			}
-			var out, said bytes.Buffer
-			if code := run(t.Context(), []string{"registry", "serve", "--config", path}, &out, &said); code != exitUsage || !strings.Contains(said.String(), c.says) {
-				t.Errorf("it ends with %d: %s", code, said.String())
+			var out, errOut bytes.Buffer
+			if code := run(t.Context(), []string{"registry", "serve", "--config", path}, &out, &errOut); code != exitUsage || !strings.Contains(errOut.String(), c.wantOutput) {
+				t.Errorf("exit code %d: %s", code, errOut.String())
 			}
 		})
 	}
 }
 
-// A server is run and registered, a real sidecar follows the list with no change of its own, and at SIGTERM the server
-// is marked Terminating, waited for, ended and taken off.
+// A server is started and registered, and a real sidecar follows the list without a change of its configuration. On
+// SIGTERM the server is marked Terminating, drained, removed from the list and stopped.
 func TestRegister_sidecarFollows(t *testing.T) {
 	dir := t.TempDir()
 	config := filepath.Join(dir, "one.toml")
@@ -195,7 +195,7 @@
 	wait := func(what string, is func() bool) {
 		t.Helper()
 		if !assert.Eventually(t, is, 20*time.Second, 10*time.Millisecond) {
-			t.Fatalf("waited in vain for %s; the sidecar shows:\n%s", what, figures())
+			t.Fatalf("timed out waiting for %s; the sidecar shows:\n%s", what, figures())
 		}
 	}
 	marker := filepath.Join(dir, "ended")
@@ -217,12 +217,12 @@
 		t.Errorf("register ended with %v", err)
 	}
 	if _, err := os.Stat(marker); err != nil {
-		t.Error("the server was not told to end")
+		t.Error("the server got no SIGTERM")
 	}
 }
 
-// A server that starts again behind a step back of its machine's clock, while its former start drains, is ready, with a
-// later start than the former one.
+// A server that restarts after its machine's clock stepped back, while its previous start drains, becomes ready with a
+// start time later than the previous one.
 func TestRegister_clockStepBack(t *testing.T) {
 	for _, step := range []time.Duration{-time.Second, -30 * time.Second, -time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
--- a/cmd/marblelane/registry_verify.go
+++ b/cmd/marblelane/registry_verify.go
@@ -6,12 +6,12 @@
 	"marblelane/internal/registry/recovery"
 )
 
-// registryVerify checks the folder of a copy that does not run.
+// registryVerify checks the folder of a stopped replica.
 type registryVerify struct {
-	Dir string `arg:"" help:"Folder of a copy that does not run." type:"path"`
+	Dir string `arg:"" help:"Folder of a stopped replica." type:"path"`
 }
 
-// Run reads the folder and changes nothing; it ends with 1 where a copy must not start from it.
+// Run reads the folder without changing it. The exit code is 1 if a replica must not start from it.
 func (c *registryVerify) Run(a *app) error {
 	report, err := recovery.Verify(c.Dir)
 	if err != nil {
--- a/cmd/marblelane/registry_watch.go
+++ b/cmd/marblelane/registry_watch.go
@@ -5,7 +5,7 @@
 // registryWatch prints each change of the list.
 type registryWatch struct {
 	replicaClient
-	After int64 `help:"Revision after which changes are wanted; -1: begin with the whole list." default:"-1"`
+	After int64 `help:"Print the changes after this revision; -1 begins with the whole list." default:"-1"`
 }
 
 func (c *registryWatch) Run(a *app) error {
--- a/cmd/marblelane/state.go
+++ b/cmd/marblelane/state.go
@@ -7,18 +7,19 @@
 	"marblelane/internal/snapshot"
 )
 
-// stateCmd groups the commands for what processes keep on disk.
+// stateCmd groups the commands for the state that processes keep on disk.
 type stateCmd struct {
-	Show   stateShow   `cmd:"" help:"Print a state in JSON; of a folder the newest sound one."`
-	Verify stateVerify `cmd:"" help:"Say of a file, or each in a folder, whether it is sound. Ends with 0 if each is, 1 if not, 2 if there is none."`
+	Show   stateShow   `cmd:"" help:"Print a saved state as JSON; for a folder, the newest sound one."`
+	Verify stateVerify `cmd:"" help:"Check whether a state file, or each one in a folder, is sound. The exit code is 0 if all are, 1 if not, 2 if there is none."`
 }
 
-// stateFiles are the files to inspect.
+// stateFiles are the arguments that select the state files to inspect.
 type stateFiles struct {
-	Path     string `arg:"" help:"A state's file, or the folder of a process's states." type:"path" placeholder:"FILE|DIR"`
-	MaxBytes int64  `name:"most" help:"Longest file that is read, in bytes." default:"8388608"`
+	Path     string `arg:"" help:"State file, or the folder with the state files of a process." type:"path" placeholder:"FILE|DIR"`
+	MaxBytes int64  `name:"most" help:"Maximum size in bytes of a file that is read." default:"8388608"`
 }
 
+// inspect reads the files and returns a finding for each.
 func (f *stateFiles) inspect() ([]snapshot.Finding, error) {
 	list, err := snapshot.Inspect(f.Path, f.MaxBytes)
 	if err != nil {
--- a/cmd/marblelane/state_test.go
+++ b/cmd/marblelane/state_test.go
@@ -57,7 +57,7 @@
 	require.Equal(t, exitError(exitFail), verify(dir))
 	assert.Contains(t, out.String(), newer+`: unsound: at byte 36, in section 0 ("head"): checksum mismatch`)
 	assert.Contains(t, out.String(), older+": sound")
-	require.Equal(t, exitError(exitFail), show(dir), "the older one, and that the newer is not sound")
+	require.Equal(t, exitError(exitFail), show(dir), "prints the older state and reports that the newer is unsound")
 	assert.Contains(t, errOut.String(), newer+": unsound")
 	assert.Contains(t, out.String(), older)
 	require.Equal(t, exitError(exitFail), show(newer))
--- a/cmd/marblelane/state_verify.go
+++ b/cmd/marblelane/state_verify.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// stateVerify checks the files of states.
+// stateVerify checks whether state files are sound.
 type stateVerify struct{ stateFiles }
 
 func (c *stateVerify) Run(a *app) error {
