--- a/cmd/marblelane/lab_report.go
+++ b/cmd/marblelane/lab_report.go
@@ -10,7 +10,7 @@
 	"marblelane/internal/lab/report"
 )
 
-// finishRun saves and prints a report and turns its outcome into the command's exit.
+// finishRun saves and prints a report and returns an exitError if the run failed or the lab was late.
 func finishRun(a *app, rep *report.Report, dir string, asJSON bool) error {
 	if dir != "" {
 		if err := rep.Save(dir); err != nil {
@@ -24,20 +24,21 @@
 	} else {
 		rep.Print(a.out)
 	}
-	end, reason := rep.Outcome()
+	outcome, reason := rep.Outcome()
 	if reason != "" {
-		end += ": " + reason
+		outcome += ": " + reason
 	}
-	fmt.Fprintln(a.out, end)
+	fmt.Fprintln(a.out, outcome)
 	switch {
-	case strings.HasPrefix(end, report.Fail):
+	case strings.HasPrefix(outcome, report.Fail):
 		return exitError(exitFail)
-	case strings.HasPrefix(end, report.Late):
+	case strings.HasPrefix(outcome, report.Late):
 		return exitError(exitLate)
 	}
 	return nil
 }
 
+// saveJSON writes v as a JSON file into the report folder dir.
 func saveJSON(dir, name string, v any) error {
 	data, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
--- a/cmd/marblelane/registry_client.go
+++ b/cmd/marblelane/registry_client.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// registryCopy is the copy to query.
-type registryCopy struct {
-	Addr string        `help:"Address of a copy." default:"127.0.0.1:8500" placeholder:"HOST:PORT"`
-	Wait time.Duration `help:"How long an answer may take." default:"10s"`
+// replicaClient sends requests to a replica of the list service.
+type replicaClient struct {
+	Addr string        `help:"Address of a replica." default:"127.0.0.1:8500" placeholder:"HOST:PORT"`
+	Wait time.Duration `help:"Maximum time to wait for a response." default:"10s"`
 }
 
-// call asks the copy and gives the body of a good answer.
-func (r *registryCopy) call(a *app, method, path string, body []byte) (io.ReadCloser, error) {
+// call sends a request and returns the response body. A status other than 2xx is an error.
+func (r *replicaClient) call(a *app, method, path string, body []byte) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(a.ctx, method, "http://"+r.Addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("--addr %s: %w", r.Addr, err)
@@ -30,19 +30,19 @@
 	if resp.StatusCode/100 != 2 {
 		defer resp.Body.Close()
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
-		return nil, fmt.Errorf("%s answers %s: %s", r.Addr, resp.Status, bytes.TrimSpace(text))
+		return nil, fmt.Errorf("%s: response status %s: %s", r.Addr, resp.Status, bytes.TrimSpace(text))
 	}
 	return resp.Body, nil
 }
 
-// printAnswer asks and prints the answer.
-func (r *registryCopy) printAnswer(a *app, method, path string, body []byte) error {
-	answer, err := r.call(a, method, path, body)
+// printResponse sends a request and prints the response body.
+func (r *replicaClient) printResponse(a *app, method, path string, body []byte) error {
+	response, err := r.call(a, method, path, body)
 	if err != nil {
 		return err
 	}
-	defer answer.Close()
-	if _, err := io.Copy(a.out, answer); err != nil && a.ctx.Err() == nil {
+	defer response.Close()
+	if _, err := io.Copy(a.out, response); err != nil && a.ctx.Err() == nil {
 		return fmt.Errorf("--addr %s: %w", r.Addr, err)
 	}
 	return nil
@@ -50,7 +50,8 @@
 
 const instancesPath = "/registry/instances"
 
-// instancePath is the path of one entry, on a condition if there is one.
+// instancePath returns the path of an action on one entry. A condition of 0 or more is the revision that the entry
+// must have.
 func instancePath(uid, action string, condition int64) string {
 	path := instancesPath + "/" + url.PathEscape(uid) + action
 	if condition >= 0 {
--- a/cmd/marblelane/registry_remove.go
+++ b/cmd/marblelane/registry_remove.go
@@ -1,12 +1,12 @@
 package main
 
-// registryRemove takes a server off the list.
+// registryRemove removes a server from the list.
 type registryRemove struct {
-	registryCopy
-	UID string `arg:"" help:"The server's name."`
-	If  int64  `help:"Only if its last change has this revision; -1: in any case." default:"-1"`
+	replicaClient
+	UID string `arg:"" help:"Name of the server."`
+	If  int64  `help:"Apply only if the last change of the entry has this revision; -1 applies always." default:"-1"`
 }
 
 func (c *registryRemove) Run(a *app) error {
-	return c.printAnswer(a, "DELETE", instancePath(c.UID, "", c.If), nil)
+	return c.printResponse(a, "DELETE", instancePath(c.UID, "", c.If), nil)
 }
--- a/cmd/marblelane/registry_remove_copy.go
+++ b/cmd/marblelane/registry_remove_copy.go
@@ -2,12 +2,12 @@
 
 import "net/url"
 
-// registryRemoveCopy takes a copy out of the cluster.
+// registryRemoveCopy removes a replica from the cluster.
 type registryRemoveCopy struct {
-	registryCopy
-	Name string `arg:"" help:"The copy's name."`
+	replicaClient
+	Name string `arg:"" help:"Name of the replica."`
 }
 
 func (c *registryRemoveCopy) Run(a *app) error {
-	return c.printAnswer(a, "DELETE", "/registry/copies/"+url.PathEscape(c.Name), nil)
+	return c.printResponse(a, "DELETE", "/registry/copies/"+url.PathEscape(c.Name), nil)
 }
