--- a/internal/lab/relay/forward.go
+++ b/internal/lab/relay/forward.go
@@ -19,8 +19,8 @@
 	return openPort(&Port{links: links, serve: proxyTo(target)})
 }
 
-// ForwardBySource is like Forward, for callers that all dial the same address, as the members of a cluster do. The source
-// address identifies the caller: it must call from [CallerAddr] of its number.
+// ForwardBySource is like Forward, for callers that all dial the same address, as the members of a cluster do. The
+// source address identifies the caller: it must call from [CallerAddr] of its number.
 func ForwardBySource(links func(caller int) *Link, target func() string) (*Port, error) {
 	return openPort(&Port{links: links, serve: proxyTo(target), bySource: true})
 }
@@ -59,8 +59,8 @@
 	}
 }
 
-// PacketProxy proxies UDP packets to one upstream, from any number of senders, each identified by its source address. The
-// proxy uses one socket per sender towards the upstream, and responses return through it.
+// PacketProxy proxies UDP packets to one upstream, from any number of senders, each identified by its source address.
+// The proxy uses one socket per sender towards the upstream, and responses return through it.
 type PacketProxy struct {
 	listener *net.UDPConn
 	target   *net.UDPAddr
@@ -120,8 +120,8 @@
 	return copies, delay
 }
 
-// ForwardPackets listens for packets on a loopback address and proxies them to target. With port 0, the system chooses the
-// port. If link returns nil, the packets pass without faults.
+// ForwardPackets listens for packets on a loopback address and proxies them to target. With port 0, the system chooses
+// the port. If link returns nil, the packets pass without faults.
 func ForwardPackets(listen, target string, link func(from *net.UDPAddr) *PacketLink) (*PacketProxy, error) {
 	at, err := net.ResolveUDPAddr("udp4", listen)
 	if err != nil {
@@ -205,7 +205,8 @@
 	return c, nil
 }
 
-// deliver writes a packet, dropped, duplicated or delayed by the rules of its link. Without a link, it writes it at once.
+// deliver writes a packet, dropped, duplicated or delayed by the rules of its link. Without a link, it writes it at
+// once.
 func (d *PacketProxy) deliver(p *PacketLink, way Direction, packet []byte, write func([]byte)) {
 	if p == nil {
 		write(packet)
--- a/internal/lab/relay/handshake_delay.go
+++ b/internal/lab/relay/handshake_delay.go
@@ -16,16 +16,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// HandshakeDelay delays the TCP handshake of a fraction of the new connections of some callers. A filter on the listening
-// socket drops their SYNs, and the connections are found in the kernel's list of sockets in SYN_SENT. After the delay the
-// party dials the caller, which TCP completes as a simultaneous open (RFC 9293, 3.5). Until then the caller's connect does
-// not return, and no request byte can be written.
+// HandshakeDelay delays the TCP handshake of a fraction of the new connections of some callers. A filter on the
+// listening socket drops their SYNs, and the connections are found in the kernel's list of sockets in SYN_SENT. After
+// the delay the party dials the caller, which TCP completes as a simultaneous open (RFC 9293, 3.5). Until then the
+// caller's connect does not return, and no request byte can be written.
 //
 // Two simpler ways do not work. With a delayed accept, the caller can write its request first, so a request that is not
 // idempotent cannot be sent to another server. If only the first SYN is dropped, the kernel retransmits it after 1 s.
 //
-// Limits: the source port decides whether a connection is delayed. A delay under about 20 ms may take longer, as it takes
-// that long to find a pending connection.
+// Limits: the source port decides whether a connection is delayed. A delay under about 20 ms may take longer, as it
+// takes that long to find a pending connection.
 type HandshakeDelay struct {
 	fraction float64                   // of new connections, 0 to 1
 	delay    func(*Link) time.Duration // draws the delay of one connection
@@ -42,8 +42,8 @@
 // connections only after a drop, as that query scans all sockets and takes about 15 ms.
 const dropPollInterval = 5 * time.Millisecond
 
-// NewHandshakeDelay returns the fault for a fraction of connections, 0 to 1. delay draws the delay of one connection of a
-// link.
+// NewHandshakeDelay returns the fault for a fraction of connections, 0 to 1. delay draws the delay of one connection of
+// a link.
 func NewHandshakeDelay(fraction float64, delay func(*Link) time.Duration) *HandshakeDelay {
 	return &HandshakeDelay{fraction: fraction, delay: delay, callersByPort: map[*Port][]int{}, lastDropCount: map[*Port]uint32{}}
 }
@@ -177,8 +177,8 @@
 	return p.port
 }
 
-// openDelayed waits, then opens a pending connection by dialling the caller from the called address, and serves it. If the
-// caller has closed its socket, its kernel resets the dial.
+// openDelayed waits, then opens a pending connection by dialling the caller from the called address, and serves it. If
+// the caller has closed its socket, its kernel resets the dial.
 func (p *Port) openDelayed(ctx context.Context, w addrPair, caller int, wait time.Duration) {
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -264,8 +264,8 @@
 	kernelTick           = 10 * time.Millisecond // resolution of the retransmission timer
 )
 
-// Sizes and field offsets, in bytes, of the kernel's inet_diag_req_v2 and inet_diag_msg; the state TCP_SYN_SENT; and the
-// size of the receive buffer.
+// Sizes and field offsets, in bytes, of the kernel's inet_diag_req_v2 and inet_diag_msg; the state TCP_SYN_SENT; and
+// the size of the receive buffer.
 const (
 	diagRequestSize       = 56
 	diagResponseSize      = 72
--- a/internal/lab/relay/listen.go
+++ b/internal/lab/relay/listen.go
@@ -33,8 +33,8 @@
 // firstCallerOctet is the second octet of the first caller's address; 127.0.0.1 belongs to no caller.
 const firstCallerOctet = 64
 
-// maxCallers is the maximum number of callers that are cut from one party. The filter has two instructions per caller, and
-// at most 4,096 in total.
+// maxCallers is the maximum number of callers that are cut from one party. The filter has two instructions per caller,
+// and at most 4,096 in total.
 const maxCallers = 1500
 
 // maxDelayedCallers is the maximum number of callers with delayed handshakes to one party. The filter has seven
@@ -76,8 +76,8 @@
 	delayedFraction float64 // of their new connections, 0 to 1; see HandshakeDelay
 }
 
-// Listen opens a port for a party. links returns the link of a caller; connections of callers without a link are closed.
-// serve is called for each connection in a goroutine of its own, and the connection is closed when it returns.
+// Listen opens a port for a party. links returns the link of a caller; connections of callers without a link are
+// closed. serve is called for each connection in a goroutine of its own, and the connection is closed when it returns.
 func Listen(links func(caller int) *Link, serve func(*Conn)) (*Port, error) {
 	return openPort(&Port{links: links, serve: serve})
 }
@@ -249,7 +249,7 @@
 	if !closed {
 		p.conns[c] = struct{}{}
 		c.detachFilter()
-		p.wg.Add(1) // under the lock, so that Close does not wait before it
+		p.wg.Add(1) // under the lock, in which Close removes the listener before it waits
 	}
 	p.mu.Unlock()
 	if closed {
--- a/internal/lab/relay/ports.go
+++ b/internal/lab/relay/ports.go
@@ -19,8 +19,8 @@
 	portAttempts = 100   // random ports that are tried
 )
 
-// listenOnFreePort calls listen with random ports until one is free. After portAttempts ports in use, it calls listen with
-// port 0, so that the system chooses the port.
+// listenOnFreePort calls listen with random ports until one is free. After portAttempts ports in use, it calls listen
+// with port 0, so that the system chooses the port.
 func listenOnFreePort(listen func(port int) error) error {
 	if span := firstEphemeralPort() - lowestPort; span >= minPortRange {
 		for range portAttempts {
@@ -56,9 +56,9 @@
 	return r.Addr(), r.Release()
 }
 
-// Reservation reserves a port of a host for a process that listens on it later, and again after each of its restarts. It
-// is a socket that is bound and never listens. The process can bind the address too, as Go sets SO_REUSEADDR for every
-// listener, while a search for a free port finds the port in use.
+// Reservation reserves a port of a host for a process that listens on it later, and again after each of its restarts.
+// It is a socket that is bound and never listens. The process can bind the address too, as Go sets SO_REUSEADDR for
+// every listener, while a search for a free port finds the port in use.
 type Reservation struct {
 	addr   string
 	socket int
--- a/internal/lab/stock/model.go
+++ b/internal/lab/stock/model.go
@@ -4,8 +4,8 @@
 // contention inside a pod, the jam (a lasting slowdown) that follows a long overload, and slow start.
 //
 // Requests in a server's slots share its cores evenly, and the others wait in order of arrival. With one slot per core,
-// each core runs one request at a time, first come, first served. A server also pauses at random, as a garbage collector
-// makes it do.
+// each core runs one request at a time, first come, first served. A server also pauses at random, as a garbage
+// collector makes it do.
 package stock
 
 import (
@@ -27,7 +27,7 @@
 
 	InitialCapacity  float64       // fraction of the full capacity right after a start, 0 to 1
 	SlowStartTime    time.Duration // from a start to full capacity; 0 means no slow start
-	OverloadMultiple float64       // multiple of the present capacity above which a server in slow start crashes; 0 means never
+	OverloadMultiple float64       // times the present capacity above which it crashes in slow start; 0 means never
 	OverloadTime     time.Duration // window over which arriving work is compared with the capacity
 
 	Jam   Jam
@@ -61,18 +61,19 @@
 
 // job is one request at a server. The lock of the server's group guards its fields.
 type job struct {
-	work      float64 // total, in milliseconds of a core of speed 1
-	remaining float64 // part of work that is not done
-	arrived   time.Duration
+	work      float64        // total, in milliseconds of a core of speed 1
+	remaining float64        // part of work that is not done
+	arrived   time.Duration  // time of arrival at the server
 	onDone    func(ran bool) // called at most once, without locks; ran is false if the server ended first
 	onStart   func()         // called when the job leaves the queue, without locks
 	state     jobState
 }
 
+// jobState is where a job is at its server.
 type jobState uint8
 
 const (
-	inactive jobState = iota
+	inactive jobState = iota // not at a server: not yet offered, completed, cancelled or lost
 	queued
 	running
 )
@@ -88,7 +89,7 @@
 	paused    bool    // a fault stops all work
 
 	overloadedSince, idleSince, jammedAt time.Duration // -1 if the state does not hold
-	arrivals                             []arrival     // requests of the last OverloadTime, recorded during slow start only
+	arrivals                             []arrival     // requests of the last OverloadTime in slow start
 	workDone                             float64       // in milliseconds of a core of speed 1
 
 	rng                    *rand.Rand // draws the pauses
--- a/internal/lab/stock/model_test.go
+++ b/internal/lab/stock/model_test.go
@@ -126,8 +126,8 @@
 		}
 		jammed = append(jammed, m.jammedAt >= 0)
 	}
-	// Overloaded from the start, the server is half as fast after 1 s, so the five jobs end after 9 s. After 1 s idle, the
-	// jam ends.
+	// Overloaded from the start, the server is half as fast after 1 s, so the five jobs end after 9 s. After 1 s idle,
+	// the jam ends.
 	for s, want := range map[int]bool{0: false, 2: true, 8: true, 12: false} {
 		if jammed[s] != want {
 			t.Errorf("after %d s: jammed = %v, all seconds: %v", s+1, jammed[s], jammed)
--- a/internal/lab/stock/server.go
+++ b/internal/lab/stock/server.go
@@ -103,12 +103,14 @@
 	Drain      bool    // all new requests are rejected
 	Reset      float64 // fraction of requests whose connection is reset during their work
 	RejectLate float64 // fraction of requests that are rejected late, after a random part of their work time
-	// ExtraResponse is the fraction of responses that are followed, some milliseconds later, by a second response or half a line.
+	// ExtraResponse is the fraction of responses that are followed, some milliseconds later, by a second response or
+	// half a line.
 	ExtraResponse float64
-	// FailClasses and HeavyClasses are the classes of requests that Fail and Heavy affect; empty: all.
+	// FailClasses and HeavyClasses are the classes of requests that Fail and Heavy affect; empty means all.
 	FailClasses, HeavyClasses []int
 	Heavy                     float64 // factor for the work of requests; 0 means 1
-	// Idle is the time after which an idle connection is closed. It applies if it is over 0 and shorter than Spec.Idle.
+	// Idle is the time after which an idle connection is closed. It applies if it is over 0 and Spec.Idle is
+	// longer or 0.
 	Idle       time.Duration
 	ForgetIdle bool   // an expired connection stays open and is reset when the sidecar next writes to it
 	Defect     string // planted defect: "wrong-body" or empty
@@ -232,7 +234,7 @@
 	return s.rng.Float64() < probability
 }
 
-var errHung = errors.New("health check not answered: the server hangs")
+var errHung = errors.New("no response to a health check: the server hangs")
 
 // setIdleDeadline sets when a connection that is idle since this time expires. s.mu is held.
 func (s *Server) setIdleDeadline(c *relay.Conn, since time.Time) {
@@ -264,8 +266,8 @@
 	_ = c.SetReadDeadline(time.Time{}) // fails only on a closed connection
 }
 
-// handleExpired handles a connection whose idle time is over. Its caller closes the connection afterwards. With ForgetIdle
-// the connection first stays open until bytes arrive, and is then reset.
+// handleExpired handles a connection whose idle time is over. Its caller closes the connection afterwards. With
+// ForgetIdle the connection first stays open until bytes arrive, and is then reset.
 func (s *Server) handleExpired(c *relay.Conn, in *bufio.Reader, err error) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) || !s.behaviour.Load().ForgetIdle {
 		return
--- a/internal/lab/stock/server_test.go
+++ b/internal/lab/stock/server_test.go
@@ -128,7 +128,7 @@
 }
 
 // The ExtraResponse fault sends the response again, or half a status line, some milliseconds after a response.
-func TestServer_extraAnswer(t *testing.T) {
+func TestServer_extraResponse(t *testing.T) {
 	s, _ := startServer(t, Spec{Cores: 1, Speed: 1, Queue: 10, Idle: time.Hour}, 1)
 	s.SetBehaviour(func(b *Behaviour) { b.ExtraResponse = 1 })
 	again, half := false, false
--- a/internal/lab/stock/simulated_pod.go
+++ b/internal/lab/stock/simulated_pod.go
@@ -47,8 +47,8 @@
 	return -1
 }
 
-// Offer sends a request to a server. work is in milliseconds of a core of speed 1. Advance calls onStart and onDone, each
-// at most once. onDone is not called if the request is cancelled or the server is killed.
+// Offer sends a request to a server. work is in milliseconds of a core of speed 1. Advance calls onStart and onDone,
+// each at most once. onDone is not called if the request is cancelled or the server is killed.
 func (p *SimulatedPod) Offer(now time.Duration, server int, work float64, onStart, onDone func()) (*Task, OfferResult) {
 	m := p.group.models[server]
 	if m.overloads(now, work) {
