--- a/internal/lab/simulate/faults.go
+++ b/internal/lab/simulate/faults.go
@@ -179,7 +179,7 @@
 // applyServerFaults applies a server's speed and hang faults to the model of its pod.
 func (sim *simulation) applyServerFaults(s *server) {
 	sim.advance(s.pod)
-	s.pod.model.SetSpeed(s.indexInPod, s.slowFactor, s.hangs)
+	s.pod.model.SetSlowdown(s.indexInPod, s.slowFactor, s.hangs)
 	sim.advance(s.pod)
 }
 
--- a/internal/lab/stock/server_test.go
+++ b/internal/lab/stock/server_test.go
@@ -16,17 +16,17 @@
 	"marblelane/internal/lab/relay"
 )
 
-// oneRequest knows one request, by any ID.
+// oneRequest is a RequestLog that returns the same request for any ID.
 type oneRequest ClientRequest
 
 func (b oneRequest) Find(uint64) (ClientRequest, bool) { return ClientRequest(b), true }
 
-// startServer starts one server that one caller reaches.
+// startServer starts a server in a pod of its own, with a link without faults.
 func startServer(t *testing.T, spec Spec, work float64) (*Server, *record.Log) {
 	t.Helper()
 	log := record.New()
 	pod := NewPod(log, 1)
-	s, err := Start(log, oneRequest{Method: http.MethodGet, Sum: record.Sum(nil), Work: work, Answer: 10}, pod, spec,
+	s, err := Start(log, oneRequest{Method: http.MethodGet, BodySum: record.Sum(nil), Work: work, ResponseBytes: 10}, pod, spec,
 		Options{Links: func(int) *relay.Link { return relay.NewLink(relay.Rules{}, 1) }, HealthCheckWork: -1})
 	if err != nil {
 		t.Fatal(err)
@@ -38,13 +38,13 @@
 	return s, log
 }
 
-// caller is a connection that sends requests one by one.
+// caller is a client connection that sends one request at a time.
 type caller struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func call(t *testing.T, s *Server) *caller {
+func dialServer(t *testing.T, s *Server) *caller {
 	t.Helper()
 	c, err := net.Dial("tcp4", s.Port.Addr(0))
 	if err != nil {
@@ -68,80 +68,80 @@
 	return err
 }
 
-func has(log *record.Log, k record.Kind) bool {
+func hasEvent(log *record.Log, k record.Kind) bool {
 	return slices.ContainsFunc(log.Events(), func(e record.Event) bool { return e.Kind == k })
 }
 
-func reset(err error) bool {
+func isReset(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// A connection that is idle for too long is closed, also after an answer and where the time grows shorter meanwhile; or it
-// is forgotten, which shows when something is written.
+// A connection that exceeds the idle time is closed, also after a response and if the idle time is shortened meanwhile.
+// With ForgetIdle it stays open, and the next request on it is reset.
 func TestServer_idleConnections(t *testing.T) {
 	s, _ := startServer(t, Spec{Cores: 1, Speed: 1, Queue: 10, Idle: time.Hour}, 1)
-	idle := call(t, s)
+	idle := dialServer(t, s)
 	if err := idle.exchange(); err != nil {
 		t.Fatal(err)
 	}
 	if err := idle.exchange(); err != nil {
-		t.Fatal("a connection within its time:", err)
+		t.Fatal("second request within the idle time:", err)
 	}
 	s.SetBehaviour(func(b *Behaviour) { b.Idle = 20 * time.Millisecond })
 	if _, err := idle.in.Peek(1); err != io.EOF {
-		t.Errorf("idle for long: %v", err)
+		t.Errorf("read after the idle time: got %v, want EOF", err)
 	}
 	s.SetBehaviour(func(b *Behaviour) { b.ForgetIdle = true })
-	forgotten := call(t, s)
+	forgotten := dialServer(t, s)
 	if err := forgotten.exchange(); err != nil {
 		t.Fatal(err)
 	}
 	_ = forgotten.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-	var late net.Error
-	if _, err := forgotten.in.Peek(1); !errors.As(err, &late) || !late.Timeout() {
-		t.Errorf("a forgotten connection got: %v", err)
+	var timeout net.Error
+	if _, err := forgotten.in.Peek(1); !errors.As(err, &timeout) || !timeout.Timeout() {
+		t.Errorf("read on a forgotten connection: got %v, want a timeout", err)
 	}
 	_ = forgotten.SetReadDeadline(time.Now().Add(10 * time.Second))
-	if err := forgotten.exchange(); !reset(err) {
-		t.Errorf("a request on a forgotten connection: %v", err)
+	if err := forgotten.exchange(); !isReset(err) {
+		t.Errorf("request on a forgotten connection: got %v, want a reset", err)
 	}
 	s.SetBehaviour(func(b *Behaviour) { *b = Behaviour{} })
-	if err := call(t, s).exchange(); err != nil {
+	if err := dialServer(t, s).exchange(); err != nil {
 		t.Error(err)
 	}
 }
 
-// A reset during a request comes once its work has started, and its work ends with it.
+// The Reset fault resets a connection after the work of its request has started, and ends the work.
 func TestServer_resetDuringWork(t *testing.T) {
 	s, log := startServer(t, Spec{Cores: 1, Speed: 1, Queue: 10, Idle: time.Hour}, 200)
 	s.SetBehaviour(func(b *Behaviour) { b.Reset = 1 })
-	if err := call(t, s).exchange(); !reset(err) {
-		t.Errorf("got %v", err)
+	if err := dialServer(t, s).exchange(); !isReset(err) {
+		t.Errorf("request: got %v, want a reset", err)
 	}
-	if !has(log, record.WorkStarted) || has(log, record.ResponseSent) {
-		t.Errorf("it had not begun, or has ended: %v", log.Events())
+	if !hasEvent(log, record.WorkStarted) || hasEvent(log, record.ResponseSent) {
+		t.Errorf("want an event WorkStarted and none Replied: %v", log.Events())
 	}
 	s.SetBehaviour(func(b *Behaviour) { b.Reset = 0 })
-	if err := call(t, s).exchange(); err != nil {
+	if err := dialServer(t, s).exchange(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Some milliseconds after an answer comes the answer again, or half of a line.
-func TestServer_extraAnswer(t *testing.T) {
+// The ExtraResponse fault sends the response again, or half a status line, some milliseconds after a response.
+func TestServer_extraResponse(t *testing.T) {
 	s, _ := startServer(t, Spec{Cores: 1, Speed: 1, Queue: 10, Idle: time.Hour}, 1)
-	s.SetBehaviour(func(b *Behaviour) { b.ExtraAnswer = 1 })
+	s.SetBehaviour(func(b *Behaviour) { b.ExtraResponse = 1 })
 	again, half := false, false
 	for !again || !half {
-		c := call(t, s)
+		c := dialServer(t, s)
 		if err := c.exchange(); err != nil {
 			t.Fatal(err)
 		}
 		more, err := c.in.Peek(len("HTTP/1.1 2"))
 		if err != nil || string(more) != "HTTP/1.1 2" {
-			t.Fatalf("after an answer came %q, %v", more, err)
+			t.Fatalf("extra bytes after a response: %q, %v", more, err)
 		}
-		_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // a second answer is written whole
+		_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // a second response is written completely
 		if resp, err := http.ReadResponse(c.in, nil); err == nil {
 			again = true
 			resp.Body.Close()
@@ -151,14 +151,14 @@
 	}
 }
 
-// A request that is rejected after a part of its work has not run.
+// A request that is rejected late has not run.
 func TestServer_lateRejection(t *testing.T) {
 	s, log := startServer(t, Spec{Cores: 1, Speed: 1, Queue: 10, Idle: time.Hour}, 20)
 	s.SetBehaviour(func(b *Behaviour) { b.RejectLate = 1 })
-	if err := call(t, s).exchange(); err != nil {
+	if err := dialServer(t, s).exchange(); err != nil {
 		t.Fatal(err)
 	}
-	if has(log, record.WorkStarted) || !has(log, record.Rejected) {
-		t.Errorf("it ran, or was not rejected: %v", log.Events())
+	if hasEvent(log, record.WorkStarted) || !hasEvent(log, record.Rejected) {
+		t.Errorf("want an event Rejected and none WorkStarted: %v", log.Events())
 	}
 }
