--- a/internal/lab/defects.go
+++ b/internal/lab/defects.go
@@ -16,22 +16,22 @@
 	"marblelane/internal/lab/stock"
 )
 
-// openAnswerProxies opens a proxy before each sidecar whose answers a planted defect will change. Clients connect to it
+// openResponseProxies opens a proxy before each sidecar whose answers a planted defect will change. Clients connect to it
 // while the defect is on.
-func (r *run) openAnswerProxies() error {
+func (r *run) openResponseProxies() error {
 	for _, p := range r.Plan.Faults {
 		if p.Fault.Kind != "defect-lose-answer" && p.Fault.Kind != "defect-answer-twice" {
 			continue
 		}
 		for _, i := range p.Sidecars {
-			if r.answerProxies[i] != nil {
+			if r.responseProxies[i] != nil {
 				continue
 			}
-			t, err := openAnswerProxy(r.sidecars[i].addr())
+			proxy, err := openResponseProxy(r.sidecars[i].addr())
 			if err != nil {
 				return err
 			}
-			r.answerProxies[i] = t
+			r.responseProxies[i] = proxy
 		}
 	}
 	return nil
@@ -39,21 +39,21 @@
 
 // setDefect begins or ends a planted defect.
 func (r *run) setDefect(defect string, p *scenario.FaultPlan, on bool) {
-	set := defect
+	active := defect
 	if !on {
-		set = ""
+		active = ""
 	}
 	switch defect {
 	case "send-twice", "send-again", "send-often", "invent", "tell-whole":
-		r.resender.Store(&resender{defect: set, sidecars: p.Sidecars})
+		r.resendRule.Store(&resendRule{defect: active, sidecars: p.Sidecars})
 	case "wrong-body":
 		for _, i := range p.Servers {
-			r.servers[i].SetBehaviour(func(b *stock.Behaviour) { b.Defect = set })
+			r.servers[i].SetBehaviour(func(b *stock.Behaviour) { b.Defect = active })
 		}
 	case "told-late", "ignore-drain":
 		for _, i := range p.Sidecars {
 			r.agents[0].SetBehaviour(i, func(b *agent.Behaviour) {
-				b.Defect, b.DefectDelay = set, time.Duration(p.Fault.Size*float64(time.Second))
+				b.Defect, b.DefectDelay = active, time.Duration(p.Fault.Size*float64(time.Second))
 			})
 		}
 	case "undo-rollback":
@@ -62,7 +62,7 @@
 		}
 	case "end-early", "ignore-term":
 		for _, i := range p.Sidecars {
-			r.sidecars[i].stopDefect.Store(&set)
+			r.sidecars[i].stopDefect.Store(&active)
 		}
 	case "ready-late":
 		for _, i := range p.Sidecars {
@@ -72,7 +72,7 @@
 		}
 	case "lose-answer", "answer-twice":
 		for _, i := range p.Sidecars {
-			r.answerProxies[i].defect.Store(&set)
+			r.responseProxies[i].defect.Store(&active)
 		}
 	}
 }
@@ -80,9 +80,9 @@
 // earlyEndDelay is how long after SIGTERM a process that ends too early is gone.
 const earlyEndDelay = 100 * time.Millisecond
 
-// playStopDefect plays a planted defect at SIGTERM in place of the signal: the process ends with requests unanswered, or goes
+// applyStopDefect plays a planted defect at SIGTERM in place of the signal: the process ends with requests unanswered, or goes
 // on. It tells whether there is one. The records say nothing of it.
-func (s *sidecar) playStopDefect(c *process.Child) bool {
+func (s *sidecar) applyStopDefect(c *process.Child) bool {
 	defect := s.stopDefect.Load()
 	switch {
 	case defect == nil || *defect == "":
@@ -96,11 +96,11 @@
 
 // stallStart plays a planted defect at the start of a process: it does nothing for a while. The records say nothing of it.
 func (s *sidecar) stallStart(ctx context.Context, c *process.Child) {
-	stalls := time.Duration(s.startStall.Load())
-	if stalls == 0 {
+	stall := time.Duration(s.startStall.Load())
+	if stall == 0 {
 		return
 	}
 	_ = c.Signal(syscall.SIGSTOP) // one that has ended says so where its readiness is awaited
-	harness.Sleep(ctx, stalls)
+	harness.Sleep(ctx, stall)
 	_ = c.Signal(syscall.SIGCONT) // as above
 }
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -51,19 +51,19 @@
 	}
 }
 
-// markWatchesLost tells simulated discovery that the watches of a sidecar were reset.
-func (r *run) markWatchesLost(f scenario.Fault, sidecar int) {
+// markWatchesReset tells simulated discovery that the watches of a sidecar were reset.
+func (r *run) markWatchesReset(f scenario.Fault, sidecar int) {
 	if r.registry != nil {
 		return
 	}
-	for _, a := range r.discoveryOf(f) {
+	for _, a := range r.discoveryServices(f) {
 		a.MarkDisconnected(sidecar)
 	}
 }
 
-// discoveryOf are the simulated discovery services that a fault concerns.
-func (r *run) discoveryOf(f scenario.Fault) []*agent.Agents {
-	if number, one := strings.CutPrefix(f.List, "#"); one {
+// discoveryServices are the simulated discovery services that a fault concerns.
+func (r *run) discoveryServices(f scenario.Fault) []*agent.Agents {
+	if number, single := strings.CutPrefix(f.List, "#"); single {
 		i, _ := strconv.Atoi(number) // checked with the scenario
 		return r.agents[i : i+1]
 	}
@@ -75,7 +75,7 @@
 	for _, i := range p.Sidecars {
 		if p.Fault.Link == "discovery" {
 			for k, links := range r.discoveryLinks {
-				if number, one := strings.CutPrefix(p.Fault.List, "#"); one && number != strconv.Itoa(k) {
+				if number, single := strings.CutPrefix(p.Fault.List, "#"); single && number != strconv.Itoa(k) {
 					continue
 				}
 				if r.registry != nil {
@@ -97,16 +97,16 @@
 
 // lateStarts are the steps that start the sidecars which start during the run.
 func (r *run) lateStarts() []step {
-	var late []int
+	var numbers []int
 	for i := range r.Plan.Sidecars {
 		if r.Scenario.StartsLate(i) {
-			late = append(late, i)
+			numbers = append(numbers, i)
 		}
 	}
-	if len(late) == 0 {
+	if len(numbers) == 0 {
 		return nil
 	}
-	return []step{{r.Scenario.Members.LateStart.Duration(), fmt.Sprintf("sidecars %v start", late), faultOnce, func(ctx context.Context) error {
-		return harness.ForEach(late, func(i int) error { return r.sidecars[i].start(ctx) })
+	return []step{{r.Scenario.Members.LateStart.Duration(), fmt.Sprintf("sidecars %v start", numbers), faultOnce, func(ctx context.Context) error {
+		return harness.ForEach(numbers, func(i int) error { return r.sidecars[i].start(ctx) })
 	}}}
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -28,7 +28,7 @@
 
 func TestMain(m *testing.M) { os.Exit(labtest.Run(m, &programs)) }
 
-func read(t *testing.T, name string) *scenario.Scenario {
+func loadScenario(t *testing.T, name string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenarios.Load(name)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return s
 }
 
-func parse(t *testing.T, text string) *scenario.Scenario {
+func parseScenario(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
@@ -46,8 +46,8 @@
 	return s
 }
 
-// play runs a scenario; a run in which the lab was late is played again, a few times.
-func play(t *testing.T, s *scenario.Scenario) *report.Report {
+// runScenario runs a scenario; a run in which the lab was late is played again, a few times.
+func runScenario(t *testing.T, s *scenario.Scenario) *report.Report {
 	t.Helper()
 	var rep *report.Report
 	for range 3 {
@@ -72,7 +72,7 @@
 			if !strings.HasPrefix(name, "defects/") {
 				continue
 			}
-			s := read(t, name)
+			s := loadScenario(t, name)
 			if len(s.Expect.MustBreak) != 1 {
 				t.Errorf("%s plants %d defects", name, len(s.Expect.MustBreak))
 				continue
@@ -80,7 +80,7 @@
 			caught[s.Expect.MustBreak[0]] = true
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				rep := play(t, s)
+				rep := runScenario(t, s)
 				end, reason := rep.Outcome()
 				want := s.Expect.MustBreak[0]
 				if end == report.Late && !slices.Contains(rep.Verdict.Broken(), want) {
@@ -134,7 +134,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			rep := play(t, read(t, name))
+			rep := runScenario(t, loadScenario(t, name))
 			if end, reason := rep.Outcome(); end == report.Late {
 				t.Log(reason)
 				return
@@ -166,7 +166,7 @@
 	for _, name := range []string{"registry-disk-heals-alone", "registry-disk-heals-killed"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			rep := play(t, read(t, name))
+			rep := runScenario(t, loadScenario(t, name))
 			if end, reason := rep.Outcome(); end == report.Late {
 				t.Log(reason)
 				return
@@ -180,7 +180,7 @@
 	}
 }
 
-const small = `
+const smallScenario = `
 title = "small"
 length = "2s"
 [sidecars]
@@ -198,19 +198,19 @@
 		assert.NoError(t, err)
 		return len(d)
 	}
-	settle := func(before int) {
+	awaitDescriptors := func(before int) {
 		t.Helper()
 		if !assert.Eventually(t, func() bool { return descriptors() <= before }, 10*time.Second, 10*time.Millisecond) {
 			t.Fatalf("%d descriptors, %d before", descriptors(), before)
 		}
 	}
-	s := parse(t, small)
+	s := parseScenario(t, smallScenario)
 	before := descriptors()
 	t.Run("a whole run", func(t *testing.T) {
-		if end, reason := play(t, s).Outcome(); end == report.Fail {
+		if end, reason := runScenario(t, s).Outcome(); end == report.Fail {
 			t.Error(reason)
 		}
-		settle(before)
+		awaitDescriptors(before)
 	})
 	t.Run("ended early", func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -218,21 +218,21 @@
 		if _, err := Run(ctx, s, harness.Options{Program: programs.Sidecar, Dir: t.TempDir()}); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("got %v", err)
 		}
-		settle(before)
+		awaitDescriptors(before)
 	})
 	t.Run("a copy that does not start", func(t *testing.T) {
 		_, err := Run(t.Context(), s, harness.Options{Program: "/bin/false", Dir: t.TempDir()})
 		if err == nil || !strings.Contains(err.Error(), "sidecar 0") || !strings.Contains(err.Error(), "did not start (exit status 1)") {
 			t.Errorf("got %v", err)
 		}
-		settle(before)
+		awaitDescriptors(before)
 	})
 	t.Run("no such program", func(t *testing.T) {
 		_, err := Run(t.Context(), s, harness.Options{Program: "/no/such/program", Dir: t.TempDir()})
 		if err == nil || !strings.Contains(err.Error(), "/no/such/program") {
 			t.Errorf("got %v", err)
 		}
-		settle(before)
+		awaitDescriptors(before)
 	})
 	if err := goleak.Find(goleak.IgnoreCurrent()); err != nil {
 		t.Error(err)
@@ -247,7 +247,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s := parse(t, strings.Replace(small, "count = 2", "count = 1", 1))
+	s := parseScenario(t, strings.Replace(smallScenario, "count = 2", "count = 1", 1))
 	calls := 0
 	rep, err := Run(t.Context(), s, harness.Options{Program: programs.Sidecar, Dir: t.TempDir(), FreeAddr: func(n int) (string, error) {
 		if calls++; calls == 1 {
@@ -270,8 +270,8 @@
 
 // What a report saves can be read back, plots included; every picture is marked with its faults.
 func TestReport_saved(t *testing.T) {
-	s := parse(t, small+"[[fault]]\nat = \"500ms\"\nfor = \"1s\"\nkind = \"slow\"\nservers = \"1\"\nsize = 3\n")
-	rep := play(t, s)
+	s := parseScenario(t, smallScenario+"[[fault]]\nat = \"500ms\"\nfor = \"1s\"\nkind = \"slow\"\nservers = \"1\"\nsize = 3\n")
+	rep := runScenario(t, s)
 	dir := filepath.Join(t.TempDir(), "new", "folder")
 	if err := rep.Save(dir); err != nil {
 		t.Fatal(err)
@@ -280,9 +280,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back report.Report
-	if err := json.Unmarshal(data, &back); err != nil || back.Seed != rep.Seed || back.Result.Figures != rep.Result.Figures {
-		t.Errorf("read back %+v, %v", back.Result, err)
+	var decoded report.Report
+	if err := json.Unmarshal(data, &decoded); err != nil || decoded.Seed != rep.Seed || decoded.Result.Figures != rep.Result.Figures {
+		t.Errorf("read back %+v, %v", decoded.Result, err)
 	}
 	for _, name := range []string{"timeline", "latency", "servers"} {
 		png, err := os.ReadFile(filepath.Join(dir, name+".png"))
--- a/internal/lab/members_test.go
+++ b/internal/lab/members_test.go
@@ -35,7 +35,7 @@
 
 // Real sidecars find each other, and notice that one of them is killed.
 func TestRun_membersNoticeKill(t *testing.T) {
-	rep := play(t, parse(t, fleetOfThree))
+	rep := runScenario(t, parseScenario(t, fleetOfThree))
 	end, reason := rep.Outcome()
 	if end == report.Late {
 		t.Skip(reason)
--- a/internal/lab/parties.go
+++ b/internal/lab/parties.go
@@ -127,8 +127,8 @@
 	key := [2]int{sidecar, server}
 	l := r.links[key]
 	if l == nil {
-		between := r.Scenario.Network.Latency(r.Plan.Sidecars[sidecar].Zone, r.Plan.Servers[server].Zone)
-		rules := relay.Rules{Latency: between.Duration(), Jitter: r.Scenario.Network.Jitter}
+		latency := r.Scenario.Network.Latency(r.Plan.Sidecars[sidecar].Zone, r.Plan.Servers[server].Zone)
+		rules := relay.Rules{Latency: latency.Duration(), Jitter: r.Scenario.Network.Jitter}
 		l = relay.NewLink(rules, r.Plan.Seed^uint64(sidecar)<<32^uint64(server))
 		r.links[key] = l
 	}
@@ -142,13 +142,13 @@
 		n := int(r.Events.Now()/time.Microsecond) % r.Scenario.Servers.Count
 		return r.servers[n].Port.Addr(i)
 	}
-	if t := r.answerProxies[i]; t != nil && *t.defect.Load() != "" {
-		return t.addr
+	if proxy := r.responseProxies[i]; proxy != nil && *proxy.defect.Load() != "" {
+		return proxy.addr
 	}
 	return r.sidecars[i].addr()
 }
 
-// closedToNew tells whether a sidecar's clients open no new connections at this moment.
-func (r *run) closedToNew(i int) bool {
-	return r.program != NoProgram && r.sidecars[i].closedToNew.Load()
+// noNewConns tells whether a sidecar's clients open no new connections at this moment.
+func (r *run) noNewConns(i int) bool {
+	return r.program != NoProgram && r.sidecars[i].noNewConns.Load()
 }
--- a/internal/lab/plain_servers.go
+++ b/internal/lab/plain_servers.go
@@ -19,10 +19,10 @@
 
 // StartServers starts the servers of a scenario. Close has to be called after it, unless it returns an error.
 func StartServers(ctx context.Context, s *scenario.Scenario, o harness.Options) (*PlainServers, error) {
-	sized := *s
-	sized.Sidecars.Program = NoProgram
+	plain := *s
+	plain.Sidecars.Program = NoProgram
 	o.Log = nil
-	base, err := harness.New(&sized, o)
+	base, err := harness.New(&plain, o)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/registry_proxy.go
+++ b/internal/lab/registry_proxy.go
@@ -63,9 +63,9 @@
 	for i := range r.Plan.Servers {
 		s.serverByUID[r.Plan.Servers[i].UID] = i
 	}
-	writing, stop := context.WithCancel(context.WithoutCancel(ctx))
+	writeCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	s.stop = stop
-	s.wg.Go(func() { s.runWrites(writing) })
+	s.wg.Go(func() { s.runWrites(writeCtx) })
 	if err := s.cluster.Start(ctx); err != nil {
 		return err
 	}
@@ -125,8 +125,8 @@
 		}
 	}
 	for {
-		if lead := s.cluster.Leader(ctx); lead != nil {
-			code, text, err := cluster.Call(ctx, method, lead.URL(path), body)
+		if leader := s.cluster.Leader(ctx); leader != nil {
+			code, text, err := cluster.Call(ctx, method, leader.URL(path), body)
 			if err == nil && (code == http.StatusOK || code == http.StatusNotFound) {
 				return nil
 			}
@@ -139,13 +139,13 @@
 }
 
 // publish writes a change after a delay. Changes are written in the order in which they become due.
-func (s *registryProxy) publish(e agent.Entry, notice time.Duration) {
+func (s *registryProxy) publish(e agent.Entry, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.published[e.Number]++
 	change := s.published[e.Number]
 	s.wg.Add(1)
-	s.timers = append(s.timers, time.AfterFunc(notice, func() {
+	s.timers = append(s.timers, time.AfterFunc(delay, func() {
 		defer s.wg.Done()
 		s.writes <- func(ctx context.Context) {
 			s.mu.Lock()
@@ -203,12 +203,12 @@
 		_ = conn.SetReadDeadline(time.Unix(1, 0)) // wakes the goroutine above
 		<-closed
 	}()
-	out, err := http.NewRequestWithContext(ctx, req.Method, replica.URL(req.URL.RequestURI()), bytes.NewReader(body))
+	outgoing, err := http.NewRequestWithContext(ctx, req.Method, replica.URL(req.URL.RequestURI()), bytes.NewReader(body))
 	if err != nil {
 		return
 	}
-	out.Header = req.Header.Clone()
-	resp, err := (&http.Transport{DisableKeepAlives: true, DisableCompression: true}).RoundTrip(out) // a redirect is the caller's to follow
+	outgoing.Header = req.Header.Clone()
+	resp, err := (&http.Transport{DisableKeepAlives: true, DisableCompression: true}).RoundTrip(outgoing) // a redirect is the caller's to follow
 	if err != nil {
 		return // the connection ends, as it would at the replica itself
 	}
@@ -288,8 +288,8 @@
 	if o := s.run.rollouts.Load(); o != nil {
 		o.RecordLine(line)
 	}
-	if undone := s.rollbackDefect.Load(); undone != nil {
-		return undone.Rewrite(line)
+	if defect := s.rollbackDefect.Load(); defect != nil {
+		return defect.Rewrite(line)
 	}
 	return line
 }
@@ -297,35 +297,35 @@
 // rewriteList writes a sidecar's own addresses into a line. Once the line was sent, the changes in it are recorded. A line
 // that is no list stays as it is.
 func (s *registryProxy) rewriteList(sidecar int, line []byte) (text []byte, sent func()) {
-	var l state.List
-	if len(bytes.TrimSpace(line)) == 0 || json.Unmarshal(line, &l) != nil {
+	var list state.List
+	if len(bytes.TrimSpace(line)) == 0 || json.Unmarshal(line, &list) != nil {
 		return line, func() {}
 	}
 	var events []record.Event
-	note := func(server int, state string, boot int64) {
+	addEvent := func(server int, state string, boot int64) {
 		events = append(events, record.Event{Kind: record.Notified, Sidecar: int32(sidecar), Server: int32(server), Class: record.None, N: boot, Note: state})
 	}
 	listed := map[int]bool{}
-	for i := range l.Targets {
-		e := &l.Targets[i]
+	for i := range list.Targets {
+		e := &list.Targets[i]
 		n, ok := s.serverByUID[e.UID]
 		if !ok {
 			continue
 		}
 		listed[n] = true
 		e.Endpoint = s.run.servers[n].Port.Addr(sidecar)
-		note(n, e.State, e.BootMS)
+		addEvent(n, e.State, e.BootMS)
 	}
-	if l.All {
+	if list.All {
 		s.mu.Lock()
-		for n, gone := range s.removed {
-			if gone && !listed[n] { // a whole list tells by leaving it out
-				note(n, agent.Gone, s.run.serverStarts[n].Load())
+		for n, removed := range s.removed {
+			if removed && !listed[n] { // a whole list tells by leaving it out
+				addEvent(n, agent.Gone, s.run.serverStarts[n].Load())
 			}
 		}
 		s.mu.Unlock()
 	}
-	text, err := json.Marshal(l)
+	text, err := json.Marshal(list)
 	if err != nil {
 		return nil, func() {}
 	}
@@ -338,16 +338,16 @@
 
 // discoveryAddrs are the addresses of the discovery services of a sidecar, in order of preference.
 func (r *run) discoveryAddrs(sidecar int) []string {
-	var out []string
+	var addrs []string
 	if r.registry != nil {
 		for _, p := range r.registry.proxies {
-			out = append(out, p.Addr(sidecar))
+			addrs = append(addrs, p.Addr(sidecar))
 		}
 	}
 	for _, a := range r.agents {
-		out = append(out, a.Addr(sidecar))
+		addrs = append(addrs, a.Addr(sidecar))
 	}
-	return out
+	return addrs
 }
 
 // initialList is the list that a sidecar starts from.
@@ -355,14 +355,14 @@
 	if r.registry == nil {
 		return r.agents[0].ListFor(sidecar)
 	}
-	l := agent.List{All: true, Targets: []agent.Entry{}}
+	list := agent.List{All: true, Targets: []agent.Entry{}}
 	for i := range r.Plan.Servers {
 		if r.Plan.Servers[i].Spare && r.serverStarts[i].Load() == 0 {
 			continue
 		}
 		e := r.Entry(i, agent.Ready, r.serverStarts[i].Load())
 		e.Endpoint = r.servers[i].Port.Addr(sidecar)
-		l.Targets = append(l.Targets, e)
+		list.Targets = append(list.Targets, e)
 	}
-	return l
+	return list
 }
--- a/internal/lab/resender.go
+++ b/internal/lab/resend.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// resender says which sidecars' requests a planted defect sends again, and how.
-type resender struct {
+// resendRule says which sidecars' requests a planted defect sends again, and how.
+type resendRule struct {
 	defect   string
 	sidecars []int
 }
@@ -19,34 +19,34 @@
 
 // observeRequest sees each request that reaches a server, and sends it again where a planted defect wants it.
 func (r *run) observeRequest(server, sidecar int, req *http.Request, body []byte) {
-	rep := r.resender.Load()
-	if rep == nil || rep.defect == "" || req.Header.Get("X-Overheard") != "" {
+	rule := r.resendRule.Load()
+	if rule == nil || rule.defect == "" || req.Header.Get("X-Overheard") != "" {
 		return
 	}
-	if !slices.Contains(rep.sidecars, sidecar) || r.resendCount.Add(1) > maxResends {
+	if !slices.Contains(rule.sidecars, sidecar) || r.resendCount.Add(1) > maxResends {
 		return
 	}
 	other := r.servers[(server+1)%len(r.servers)].Port.Addr(sidecar)
 	id := req.Header.Get("X-Request-ID")
 	r.Tasks.Go(func() {
-		tells := ""
-		if rep.defect == "tell-whole" {
-			tells = "X-Timeout-Ms: " + req.Header.Get("X-Timeout-Ms") + "\r\n" // as much as when the first was sent
+		timeoutHeader := ""
+		if rule.defect == "tell-whole" {
+			timeoutHeader = "X-Timeout-Ms: " + req.Header.Get("X-Timeout-Ms") + "\r\n" // as much as when the first was sent
 		}
-		again := func(id string) { _ = resend(other, req, id, tells, body) } // a failed resend is no defect
-		switch rep.defect {
+		send := func(id string) { _ = resend(other, req, id, timeoutHeader, body) } // a failed resend is no defect
+		switch rule.defect {
 		case "send-twice":
-			again(id)
+			send(id)
 		case "send-again", "tell-whole":
 			time.Sleep(resendDelay)
-			again(id)
+			send(id)
 		case "send-often":
 			time.Sleep(resendDelay)
 			for range 3 {
-				again(id)
+				send(id)
 			}
 		case "invent":
-			again("00000000deadbeef")
+			send("00000000deadbeef")
 		}
 	})
 }
@@ -55,7 +55,7 @@
 const maxResends = 5
 
 // resend sends a request as a sidecar would, with a header line more or none, and waits for its answer.
-func resend(addr string, req *http.Request, id, line string, body []byte) error {
+func resend(addr string, req *http.Request, id, extraHeader string, body []byte) error {
 	c, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	head := fmt.Sprintf("%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %s\r\nX-Overheard: 1\r\n%sContent-Length: %d\r\n\r\n",
-		req.Method, id, line, len(body))
+		req.Method, id, extraHeader, len(body))
 	if _, err := c.Write(append([]byte(head), body...)); err != nil {
 		return err
 	}
--- a/internal/lab/answer_proxy.go
+++ b/internal/lab/response_proxy.go
@@ -11,8 +11,8 @@
 	"marblelane/internal/lab/harness"
 )
 
-// answerProxy is a proxy between clients and a sidecar that drops or doubles answers while a planted defect is on.
-type answerProxy struct {
+// responseProxy is a proxy between clients and a sidecar that drops or doubles answers while a planted defect is on.
+type responseProxy struct {
 	addr     string
 	defect   atomic.Pointer[string]
 	listener net.Listener
@@ -22,58 +22,58 @@
 	closed   bool
 }
 
-func openAnswerProxy(target string) (*answerProxy, error) {
+func openResponseProxy(target string) (*responseProxy, error) {
 	l, err := net.Listen("tcp4", harness.HostOf(target)+":0")
 	if err != nil {
 		return nil, fmt.Errorf("lab: answer proxy: %w", err)
 	}
-	t := &answerProxy{addr: l.Addr().String(), listener: l, conns: map[net.Conn]struct{}{}}
+	p := &responseProxy{addr: l.Addr().String(), listener: l, conns: map[net.Conn]struct{}{}}
 	none := ""
-	t.defect.Store(&none)
-	t.wg.Go(func() {
+	p.defect.Store(&none)
+	p.wg.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			t.wg.Go(func() { t.forward(c, target) })
+			p.wg.Go(func() { p.forward(c, target) })
 		}
 	})
-	return t, nil
+	return p, nil
 }
 
-func (t *answerProxy) track(c net.Conn) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !t.closed {
-		t.conns[c] = struct{}{}
+func (p *responseProxy) track(c net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.closed {
+		p.conns[c] = struct{}{}
 	}
-	return !t.closed
+	return !p.closed
 }
 
-func (t *answerProxy) close() {
-	t.listener.Close()
-	t.mu.Lock()
-	t.closed = true
-	for c := range t.conns {
+func (p *responseProxy) close() {
+	p.listener.Close()
+	p.mu.Lock()
+	p.closed = true
+	for c := range p.conns {
 		c.Close()
 	}
-	t.mu.Unlock()
-	t.wg.Wait()
+	p.mu.Unlock()
+	p.wg.Wait()
 }
 
 // forward carries one connection.
-func (t *answerProxy) forward(client net.Conn, target string) {
+func (p *responseProxy) forward(client net.Conn, target string) {
 	defer client.Close()
 	server, err := net.Dial("tcp4", target)
 	if err != nil {
 		return
 	}
 	defer server.Close()
-	if !t.track(client) || !t.track(server) {
+	if !p.track(client) || !p.track(server) {
 		return
 	}
-	t.wg.Go(func() {
+	p.wg.Go(func() {
 		_, _ = io.Copy(server, client) // the end of either side ends both
 		_ = server.(*net.TCPConn).CloseWrite()
 	})
@@ -83,7 +83,7 @@
 		if errors.Is(err, net.ErrClosed) || n == 0 {
 			return
 		}
-		switch *t.defect.Load() {
+		switch *p.defect.Load() {
 		case "lose-answer":
 			continue
 		case "answer-twice":
--- a/internal/lab/routes_section.go
+++ b/internal/lab/routes_section.go
@@ -16,7 +16,7 @@
 		return nil
 	}
 	schemas := r.Scenario.Routes.Schemas
-	if again := r.sidecars[sidecar].starts > 0 && r.Scenario.Routes.SwapSchemas; r.Scenario.ReadsOldSchema(sidecar) != again {
+	if restarted := r.sidecars[sidecar].starts > 0 && r.Scenario.Routes.SwapSchemas; r.Scenario.ReadsOldSchema(sidecar) != restarted {
 		schemas = []int{1}
 	}
 	section := map[string]any{"addrs": r.discoveryAddrs(sidecar), "key_header": "X-Route-Key"}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -26,24 +26,24 @@
 // run is a run of sidecars between clients, servers and discovery.
 type run struct {
 	*harness.Run
-	program       string
-	requests      *client.RequestLog
-	pods          []*stock.Pod
-	servers       []*stock.Server
-	agents        []*agent.Agents                 // simulated discovery services, each with an agent for every sidecar
-	registry      *registryProxy                  // nil: discovery is simulated
-	rollouts      atomic.Pointer[rollouts.Driver] // nil: the scenario has no routes
-	members       *members.Network                // nil: there is no membership
-	sidecars      []*sidecar
-	answerProxies []*answerProxy
-	load          *client.Load
-	lateness      []time.Duration // of arrivals, behind their plan
-	worked        float64         // units that the servers have worked
-	serverStarts  []atomic.Int64  // when each server started last, Unix ms; 0: before the run
+	program         string
+	requests        *client.RequestLog
+	pods            []*stock.Pod
+	servers         []*stock.Server
+	agents          []*agent.Agents                 // simulated discovery services, each with an agent for every sidecar
+	registry        *registryProxy                  // nil: discovery is simulated
+	rollouts        atomic.Pointer[rollouts.Driver] // nil: the scenario has no routes
+	members         *members.Network                // nil: there is no membership
+	sidecars        []*sidecar
+	responseProxies []*responseProxy
+	load            *client.Load
+	arrivalDelays   []time.Duration // of arrivals, behind their plan
+	workDone        float64         // units that the servers have worked
+	serverStarts    []atomic.Int64  // when each server started last, Unix ms; 0: before the run
 	// serverClock is the offset of the servers' wall clock, in ms.
 	serverClock atomic.Int64
 
-	resender    atomic.Pointer[resender]
+	resendRule  atomic.Pointer[resendRule]
 	resendCount atomic.Int64
 
 	linkMu          sync.Mutex
@@ -56,7 +56,7 @@
 
 func newRun(base *harness.Run) *run {
 	r := &run{Run: base, links: map[[2]int]*relay.Link{}, requests: client.NewRequestLog()}
-	r.load = &client.Load{Plan: r.Plan, Log: r.Events, Requests: r.requests, Addr: r.clientAddr, Closed: r.closedToNew}
+	r.load = &client.Load{Plan: r.Plan, Log: r.Events, Requests: r.requests, Addr: r.clientAddr, Closed: r.noNewConns}
 	if r.program = r.Scenario.Sidecars.Program; r.program == "" {
 		r.program = r.Options.Program
 	}
@@ -74,15 +74,15 @@
 		r.rollouts.Store(o) // the sidecars call already
 		r.Tasks.Go(func() { o.Drive(ctx) })
 	}
-	r.lateness = r.load.Run(ctx)
-	r.resender.Store(nil)
+	r.arrivalDelays = r.load.Run(ctx)
+	r.resendRule.Store(nil)
 	return nil
 }
 
 // shiftArrivals moves the arrivals of the plan between its clock and that of the records.
-func (r *run) shiftArrivals(by time.Duration) {
+func (r *run) shiftArrivals(offset time.Duration) {
 	for i := range r.Plan.Arrivals {
-		r.Plan.Arrivals[i].At += by
+		r.Plan.Arrivals[i].At += offset
 	}
 }
 
@@ -91,14 +91,14 @@
 	if r.members != nil {
 		r.members.StopPolling()
 	}
-	r.measureAll()
+	r.sampleAll()
 	if o := r.rollouts.Load(); o != nil {
 		o.Collect(ctx)
 	}
 	r.stopSidecars()
 	r.processWatchers.Wait()
 	for _, s := range r.servers {
-		r.worked += s.WorkDone()
+		r.workDone += s.WorkDone()
 	}
 	return nil
 }
@@ -114,7 +114,7 @@
 	if o := r.rollouts.Load(); o != nil {
 		routes = o.Facts()
 	}
-	rep := report.New(r.Plan, events, r.worked, routes, r.Spans(timers.Stalls))
+	rep := report.New(r.Plan, events, r.workDone, routes, r.Spans(timers.Stalls))
 	if r.members != nil { // before the expectations ask which rules were held to some case
 		facts := r.members.Facts()
 		invariant.CheckMembers(events, facts, rep.Verdict)
@@ -123,7 +123,7 @@
 	if o := r.rollouts.Load(); o != nil {
 		rep.Routes = o.Result(events, routes, rep.Verdict)
 	}
-	rep.Lateness = report.NewLateness(r.lateness, timers.Lag)
+	rep.Lateness = report.NewLateness(r.arrivalDelays, timers.Lag)
 	if r.registry != nil {
 		r.registry.cluster.AddTo(rep.Verdict)
 	}
@@ -147,9 +147,9 @@
 	if r.members != nil {
 		r.members.Close()
 	}
-	for _, t := range r.answerProxies {
-		if t != nil {
-			t.close()
+	for _, proxy := range r.responseProxies {
+		if proxy != nil {
+			proxy.close()
 		}
 	}
 	for _, a := range r.agents {
--- a/internal/lab/sampling.go
+++ b/internal/lab/sampling.go
@@ -20,16 +20,16 @@
 	for {
 		select {
 		case <-t.C:
-			r.measureAll()
+			r.sampleAll()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// measureAll records what each process uses now.
-func (r *run) measureAll() {
-	together := func(sidecar int, cpu float64, pids ...int) {
+// sampleAll records what each process uses now.
+func (r *run) sampleAll() {
+	addSample := func(sidecar int, cpu float64, pids ...int) {
 		e := record.Event{Kind: record.Sample, Sidecar: int32(sidecar), Server: record.None, Class: record.None, Work: cpu}
 		for _, pid := range pids {
 			u, err := process.Measure(pid)
@@ -42,9 +42,9 @@
 			r.Events.Add(e)
 		}
 	}
-	together(record.None, 0, os.Getpid())
+	addSample(record.None, 0, os.Getpid())
 	for i, s := range r.sidecars { // during an upgrade two processes are one sidecar, to its limits too
 		pids, past := s.processes()
-		together(i, past, pids...)
+		addSample(i, past, pids...)
 	}
 }
--- a/internal/lab/server_fault_steps.go
+++ b/internal/lab/server_fault_steps.go
@@ -100,13 +100,13 @@
 
 // classes are the numbers of classes by their names.
 func (r *run) classes(names []string) []int {
-	var out []int
+	var numbers []int
 	for i, c := range r.Scenario.Classes {
 		if slices.Contains(names, c.Name) {
-			out = append(out, i)
+			numbers = append(numbers, i)
 		}
 	}
-	return out
+	return numbers
 }
 
 // linkSteps are the faults of the links between sidecars and servers, or discovery.
@@ -160,7 +160,7 @@
 		f.eachLink(f.FaultPlan, func(port *relay.Port, sidecar int, _ *relay.Link) {
 			port.EachConn(sidecar, (*relay.Conn).Reset)
 			if f.Fault.Link == "discovery" {
-				f.markWatchesLost(f.Fault, sidecar)
+				f.markWatchesReset(f.Fault, sidecar)
 			}
 		})
 		return nil
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -16,19 +16,19 @@
 )
 
 // cut makes links silent one way or both; either way new connections never come up.
-func (r *run) cut(p *scenario.FaultPlan, way relay.Direction, on bool) error {
+func (r *run) cut(p *scenario.FaultPlan, direction relay.Direction, on bool) error {
 	var failed error
 	r.eachLink(p, func(port *relay.Port, sidecar int, l *relay.Link) {
 		l.Set(func(rules *relay.Rules) {
-			if rules.Cut &^= way; on {
-				rules.Cut |= way
+			if rules.Cut &^= direction; on {
+				rules.Cut |= direction
 			}
 		})
-		do := port.Heal
+		apply := port.Heal
 		if l.Rules().Cut != 0 {
-			do = port.Cut
+			apply = port.Cut
 		}
-		if err := do(sidecar); err != nil {
+		if err := apply(sidecar); err != nil {
 			failed = err
 		}
 	})
@@ -48,12 +48,12 @@
 }
 
 // publish lets discovery list the state of a server after the delay with which it notices.
-func (r *run) publish(i int, state string, notice scenario.Duration) {
+func (r *run) publish(i int, state string, delay scenario.Duration) {
 	if r.registry != nil {
-		r.registry.publish(r.Entry(i, state, r.serverStarts[i].Load()), notice.Duration())
+		r.registry.publish(r.Entry(i, state, r.serverStarts[i].Load()), delay.Duration())
 	}
 	for _, a := range r.agents {
-		a.Publish(r.Entry(i, state, r.serverStarts[i].Load()), notice.Duration(), r.Scenario.Discovery.Spread.Duration())
+		a.Publish(r.Entry(i, state, r.serverStarts[i].Load()), delay.Duration(), r.Scenario.Discovery.Spread.Duration())
 	}
 }
 
@@ -76,12 +76,12 @@
 
 // drainServers ends servers in order: discovery lists them as terminating, they reject new requests once all sidecars know
 // and their grace is over, end, and start again. Those that stay do not end, and serve all requests.
-func (r *run) drainServers(ctx context.Context, servers []int, stay bool) error {
+func (r *run) drainServers(ctx context.Context, servers []int, keepServing bool) error {
 	for _, i := range servers {
 		r.Note(record.ServerState, record.None, i, "drains")
 		r.publish(i, agent.Terminating, r.Scenario.Discovery.DrainDelay)
 	}
-	if stay {
+	if keepServing {
 		return nil
 	}
 	wait := r.Scenario.Discovery.DrainDelay.Duration() + r.Scenario.Discovery.Spread.Duration() + r.Scenario.Rules.DrainGrace.Duration()
--- a/internal/lab/sidecar_fault_steps.go
+++ b/internal/lab/sidecar_fault_steps.go
@@ -48,10 +48,10 @@
 }
 
 // eachList calls do for each list of a sidecar that a fault concerns.
-func (f injection) eachList(do func(a *agent.Agents, sidecar int)) {
-	for _, a := range f.discoveryOf(f.Fault) {
+func (f injection) eachList(call func(a *agent.Agents, sidecar int)) {
+	for _, a := range f.discoveryServices(f.Fault) {
 		for _, i := range f.Sidecars {
-			do(a, i)
+			call(a, i)
 		}
 	}
 }
@@ -96,8 +96,8 @@
 }
 
 // eachSidecar calls do for all sidecars of a fault at once.
-func (f injection) eachSidecar(do func(*sidecar) error) error {
-	return harness.ForEach(f.Sidecars, func(i int) error { return do(f.sidecars[i]) })
+func (f injection) eachSidecar(call func(*sidecar) error) error {
+	return harness.ForEach(f.Sidecars, func(i int) error { return call(f.sidecars[i]) })
 }
 
 // sidecarFault is the steps of a fault that happens to each sidecar at one moment.
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -59,11 +59,11 @@
 // terminate is a planned restart as hard as the platform may make it: clients open connections for a while after SIGTERM and
 // go on sending on every one that stays open, and SIGKILL comes at its earliest.
 func (s *sidecar) terminate(ctx context.Context) error {
-	defer time.AfterFunc(connectWindow, func() { s.closedToNew.Store(true) }).Stop()
+	defer time.AfterFunc(connectWindow, func() { s.noNewConns.Store(true) }).Stop()
 	s.stop(s.current(), s.run.Scenario.KillDelay())
-	s.closedToNew.Store(true) // before the timer, where it has ended sooner
+	s.noNewConns.Store(true) // before the timer, where it has ended sooner
 	err := s.launch(ctx)
-	s.closedToNew.Store(false)
+	s.noNewConns.Store(false)
 	return err
 }
 
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -42,10 +42,10 @@
 	pastCPU  float64 // CPU seconds of processes that have ended
 	starts   int
 
-	closedToNew atomic.Bool            // clients open no new connections
-	faults      fault.Config           // in its file of faults; under mu
-	startStall  atomic.Int64           // planted defect: how long a process does nothing at its start, in ns
-	stopDefect  atomic.Pointer[string] // planted defect at SIGTERM; empty or nil: none
+	noNewConns atomic.Bool            // clients open no new connections
+	faults     fault.Config           // in its file of faults; under mu
+	startStall atomic.Int64           // planted defect: how long a process does nothing at its start, in ns
+	stopDefect atomic.Pointer[string] // planted defect at SIGTERM; empty or nil: none
 }
 
 func (s *sidecar) addr() string {
@@ -73,7 +73,7 @@
 
 // startSidecars starts all and waits until each says that it serves.
 func (r *run) startSidecars(ctx context.Context) error {
-	r.answerProxies = make([]*answerProxy, len(r.Plan.Sidecars))
+	r.responseProxies = make([]*responseProxy, len(r.Plan.Sidecars))
 	for i := range r.Plan.Sidecars {
 		s := &sidecar{run: r, number: i, dir: filepath.Join(r.Dir, r.Plan.Sidecars[i].Name)}
 		if r.Scenario.StartsLate(i) { // it may have the name of another one
@@ -84,24 +84,24 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
-	first := slices.DeleteFunc(slices.Clone(r.sidecars), func(s *sidecar) bool { return r.Scenario.StartsLate(s.number) })
-	errs := make(chan error, len(first))
+	initial := slices.DeleteFunc(slices.Clone(r.sidecars), func(s *sidecar) bool { return r.Scenario.StartsLate(s.number) })
+	errs := make(chan error, len(initial))
 	slots := make(chan struct{}, 8) // starts at a time, as they cost the most
-	for _, s := range first {
+	for _, s := range initial {
 		r.Tasks.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			errs <- s.start(ctx)
 		})
 	}
-	var all error
-	for range first {
-		all = errors.Join(all, <-errs)
+	var failed error
+	for range initial {
+		failed = errors.Join(failed, <-errs)
 	}
-	if all != nil {
-		return all
+	if failed != nil {
+		return failed
 	}
-	return r.openAnswerProxies()
+	return r.openResponseProxies()
 }
 
 // start starts the sidecar on a free address. The platform reserves its addresses; here another process may take one before
@@ -181,12 +181,12 @@
 // awaitEnd records how a process ended.
 func (s *sidecar) awaitEnd(c *process.Child) {
 	<-c.Ended()
-	note := invariant.Ended
+	outcome := invariant.Ended
 	if !c.StopRequested() || c.Err() != nil && !strings.Contains(c.Err().Error(), "signal: killed") {
-		note = invariant.Crashed
+		outcome = invariant.Crashed
 	}
-	s.run.Note(record.Process, s.number, record.None, note)
-	if note == invariant.Crashed {
+	s.run.Note(record.Process, s.number, record.None, outcome)
+	if outcome == invariant.Crashed {
 		s.run.Log.Error("lab: a sidecar ended without a signal", "sidecar", s.number, "err", c.Err(), "log", c.LogTail())
 	}
 }
@@ -204,11 +204,11 @@
 	if d := &r.Scenario.Discovery; d.Services > 1 || d.RegistryReplicas > 1 || d.SuspectFraction > 0 || d.StaleAfter > 0 {
 		var lists []map[string]any
 		for k, addr := range r.discoveryAddrs(s.number) {
-			one := map[string]any{"addr": addr}
+			list := map[string]any{"addr": addr}
 			if k < len(d.Zones) {
-				one["zone"] = d.Zones[k]
+				list["zone"] = d.Zones[k]
 			}
-			lists = append(lists, one)
+			lists = append(lists, list)
 		}
 		config["lists"], config["list_doubt_share"], config["list_stale_ms"] = lists, d.SuspectFraction, d.StaleAfter.Milliseconds()
 	}
@@ -265,7 +265,7 @@
 	if s.run.members != nil {
 		s.run.members.RecordLeaving(c)
 	}
-	if !s.playStopDefect(c) {
+	if !s.applyStopDefect(c) {
 		if err := c.Signal(syscall.SIGTERM); err != nil {
 			s.run.Fail(err)
 		}
