--- a/internal/lab/defects.go
+++ b/internal/lab/defects.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file is the planted defects: each makes the fleet break one invariant, for the checkers to find. None of them is in a
-// sidecar or replica; they are in the proxies, the servers and discovery.
+// This file plants defects. Each makes the fleet break one invariant, which shows that the check of that invariant
+// detects it. No defect is in the code of a sidecar or replica: they are in the proxies, the servers, discovery and
+// the signals sent.
 
 import (
 	"context"
@@ -16,8 +17,8 @@
 	"marblelane/internal/lab/stock"
 )
 
-// openResponseProxies opens a proxy before each sidecar whose answers a planted defect will change. Clients connect to it
-// while the defect is on.
+// openResponseProxies opens a proxy in front of each sidecar whose responses a planted defect will change. Clients
+// connect to it while the defect is on.
 func (r *run) openResponseProxies() error {
 	for _, p := range r.Plan.Faults {
 		if p.Fault.Kind != "defect-lose-answer" && p.Fault.Kind != "defect-answer-twice" {
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// setDefect begins or ends a planted defect.
+// setDefect turns a planted defect on or off.
 func (r *run) setDefect(defect string, p *scenario.FaultPlan, on bool) {
 	active := defect
 	if !on {
@@ -77,11 +78,11 @@
 	}
 }
 
-// earlyEndDelay is how long after SIGTERM a process that ends too early is gone.
+// earlyEndDelay is the time from the stop request to the kill of a process with the defect "end-early".
 const earlyEndDelay = 100 * time.Millisecond
 
-// applyStopDefect plays a planted defect at SIGTERM in place of the signal: the process ends with requests unanswered, or goes
-// on. It tells whether there is one. The records say nothing of it.
+// applyStopDefect applies a planted defect in place of SIGTERM: the process ends with requests in flight, or goes on
+// running. It reports whether a defect is planted. The defect is not recorded.
 func (s *sidecar) applyStopDefect(c *process.Child) bool {
 	defect := s.stopDefect.Load()
 	switch {
@@ -94,13 +95,14 @@
 	return true
 }
 
-// stallStart plays a planted defect at the start of a process: it does nothing for a while. The records say nothing of it.
+// stallStart applies a planted defect at the start of a process: the process is suspended for a while. The defect is
+// not recorded.
 func (s *sidecar) stallStart(ctx context.Context, c *process.Child) {
 	stall := time.Duration(s.startStall.Load())
 	if stall == 0 {
 		return
 	}
-	_ = c.Signal(syscall.SIGSTOP) // one that has ended says so where its readiness is awaited
+	_ = c.Signal(syscall.SIGSTOP) // the wait for readiness reports a process that has ended
 	harness.Sleep(ctx, stall)
 	_ = c.Signal(syscall.SIGCONT) // as above
 }
--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -1,8 +1,8 @@
 package lab
 
-// This file turns the faults of a plan into steps: what is done at which time. Each kind of fault is one entry of
-// stepsByKind. What a server or link suffers is set and taken back on its own, so that faults of several kinds can overlap;
-// two of one kind on one target end together.
+// This file converts the planned faults to steps, which are actions with a time. Each kind of fault has one entry in
+// stepsByKind. Each kind sets and resets only its own setting of a server or link, so faults of different kinds can
+// overlap. Two overlapping faults of one kind on one target both end when the first of them ends.
 
 import (
 	"context"
@@ -14,32 +14,33 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// step is one thing to do at its time.
+// step is one action of a fault and its time.
 type step struct {
-	at    time.Duration
-	text  string
+	at    time.Duration // since all parties were started
+	text  string        // description in the records and the report
 	phase faultPhase
 	run   func(context.Context) error
 }
 
-// faultPhase is what a step is to its fault, as the status of the record says it.
+// faultPhase is the phase of a fault that a step stands for. It is written to the record as its status.
 type faultPhase int32
 
 const (
-	faultOnce faultPhase = iota
-	faultBegins
-	faultEnds
+	faultOnce   faultPhase = iota // the fault has this step only
+	faultBegins                   // the step begins the fault
+	faultEnds                     // the step ends the fault
 )
 
-// injection is a planned fault that is to be injected into a run.
+// injection is a planned fault together with the run into which it is injected.
 type injection struct {
 	*run
 	*scenario.FaultPlan
 }
 
-// stepsByKind gives the steps of each kind of fault.
+// stepsByKind maps each kind of fault to the function that returns its steps.
 var stepsByKind = allSteps(serverSteps, linkSteps, discoverySteps, sidecarSteps, workloadSteps, memberSteps, replicaSteps, defectSteps)
 
+// allSteps returns the union of the tables.
 func allSteps(tables ...map[string]func(injection) []step) map[string]func(injection) []step {
 	all := map[string]func(injection) []step{}
 	for _, table := range tables {
@@ -48,16 +49,16 @@
 	return all
 }
 
-// steps gives what is done and undone of a fault.
+// steps returns the steps that begin and end a fault. It panics if the kind is unknown.
 func (r *run) steps(p *scenario.FaultPlan) []step {
 	steps := stepsByKind[p.Fault.Kind]
 	if steps == nil {
-		panic("lab: no steps for a fault of the kind " + p.Fault.Kind)
+		panic("lab: no steps for fault kind " + p.Fault.Kind)
 	}
 	return steps(injection{r, p})
 }
 
-// describe is the fault in words, as the records and the report have it.
+// describe returns the description of the fault for the records and the report.
 func (f injection) describe() string {
 	text := f.Fault.Kind
 	if f.Fault.Size != 0 {
@@ -78,23 +79,23 @@
 	return text
 }
 
-// once is a fault that happens at one moment.
+// once returns the step of a fault that happens at one moment.
 func (f injection) once(do func(context.Context) error) []step {
 	return []step{{f.At, f.describe(), faultOnce, do}}
 }
 
-// span is a fault that begins and ends.
+// span returns the steps of a fault that begins and ends.
 func (f injection) span(begin, end func(context.Context) error) []step {
 	text := f.describe()
 	return []step{{f.At, text, faultBegins, begin}, {f.Until, text + " ends", faultEnds, end}}
 }
 
-// toggle is a fault that is set and taken back in the same way.
+// toggle returns the steps of a fault that one function turns on and off.
 func (f injection) toggle(set func(on bool) error) []step {
 	return f.span(func(context.Context) error { return set(true) }, func(context.Context) error { return set(false) })
 }
 
-// size is the size of the fault while it is on.
+// size returns the size of the fault if it is on, else 0.
 func (f injection) size(on bool) float64 {
 	if on {
 		return f.Fault.Size
@@ -102,13 +103,13 @@
 	return 0
 }
 
-// duration is the size of the fault as a time while it is on.
+// duration returns the size of the fault as a number of seconds if it is on, else 0.
 func (f injection) duration(on bool) time.Duration {
 	return time.Duration(f.size(on) * float64(time.Second))
 }
 
-// workloadSteps are the faults of clients and their requests. Some of them are drawn into the arrivals of the plan, and
-// nothing is left to do.
+// workloadSteps are the faults of clients and their requests. Some of them are already part of the planned arrivals.
+// Their steps do nothing.
 var workloadSteps = map[string]func(injection) []step{
 	"burst": recordSpan,
 	"rush":  func(f injection) []step { return f.once(func(context.Context) error { return nil }) },
@@ -125,10 +126,10 @@
 	},
 }
 
-// recordSpan records a fault, and changes nothing.
+// recordSpan returns steps that do nothing, so that only the begin and end of the fault are recorded.
 func recordSpan(f injection) []step { return f.toggle(func(bool) error { return nil }) }
 
-// memberSteps are the faults between members.
+// memberSteps are the faults of the network between members.
 var memberSteps = map[string]func(injection) []step{
 	"members-cut":    setMemberFault,
 	"members-lose":   setMemberFault,
@@ -140,7 +141,7 @@
 	return f.toggle(func(on bool) error { return f.members.SetFault(f.FaultPlan, on) })
 }
 
-// replicaSteps are the faults of the replicas of the registry that sidecars follow.
+// replicaSteps are the faults of the registry's replicas in a run with sidecars.
 var replicaSteps = map[string]func(injection) []step{
 	"copy-kill":      injectIntoReplicas,
 	"copy-freeze":    injectIntoReplicas,
@@ -155,7 +156,7 @@
 
 func injectIntoReplicas(f injection) []step {
 	var undo func() error
-	started := make(chan struct{}) // the start may take longer than the fault lasts
+	started := make(chan struct{}) // closed once the injection has returned, which may take longer than the fault lasts
 	return f.span(func(ctx context.Context) (err error) {
 		defer close(started)
 		undo, err = f.registry.cluster.InjectFault(ctx, f.FaultPlan)
@@ -166,7 +167,7 @@
 		case <-ctx.Done():
 			return nil
 		}
-		if undo == nil { // it never started
+		if undo == nil { // the injection failed
 			return nil
 		}
 		return undo()
@@ -190,7 +191,7 @@
 	"defect-ignore-term":   plantDefect,
 	"defect-ready-late":    plantDefect,
 
-	// Defects of runs of the registry alone.
+	// Defects of runs of the registry alone, which package cluster plants.
 	"defect-unheard-disk": recordSpan,
 	"defect-stale-read":   recordSpan,
 	"defect-skipped-line": recordSpan,
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file injects the faults of a plan at their times.
+// This file injects the planned faults at their times.
 
 import (
 	"context"
@@ -17,11 +17,11 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// serverDowntime is how long a server that is killed or drained and started again is away.
+// serverDowntime is the time from a draining server's first rejection to its kill, and from its kill to its next start.
 const serverDowntime = time.Second
 
-// injectFaults carries out the plan's faults at their times, each in a goroutine of its own: one that takes long, such as
-// a planned restart, delays no other.
+// injectFaults runs the steps of the planned faults at their times. Each step runs in its own goroutine, so that a long
+// one, such as a planned restart, does not delay the others.
 func (r *run) injectFaults(ctx context.Context) {
 	var steps []step
 	for i := range r.Plan.Faults {
@@ -51,7 +51,7 @@
 	}
 }
 
-// markWatchesReset tells simulated discovery that the watches of a sidecar were reset.
+// markWatchesReset notifies simulated discovery that the watches of a sidecar were reset.
 func (r *run) markWatchesReset(f scenario.Fault, sidecar int) {
 	if r.registry != nil {
 		return
@@ -61,16 +61,16 @@
 	}
 }
 
-// discoveryServices are the simulated discovery services that a fault concerns.
+// discoveryServices returns the simulated discovery services that a fault affects.
 func (r *run) discoveryServices(f scenario.Fault) []*agent.Agents {
 	if number, single := strings.CutPrefix(f.List, "#"); single {
-		i, _ := strconv.Atoi(number) // checked with the scenario
+		i, _ := strconv.Atoi(number) // validated when the scenario was read
 		return r.agents[i : i+1]
 	}
 	return r.agents
 }
 
-// eachLink calls f for each link that a fault concerns.
+// eachLink calls f for each link that a fault affects.
 func (r *run) eachLink(p *scenario.FaultPlan, f func(port *relay.Port, sidecar int, l *relay.Link)) {
 	for _, i := range p.Sidecars {
 		if p.Fault.Link == "discovery" {
@@ -92,10 +92,10 @@
 	}
 }
 
-// connectWindow is how long after SIGTERM clients still open connections, at most, on the platform.
+// connectWindow is the longest time after SIGTERM during which clients on the platform still open connections.
 const connectWindow = 400 * time.Millisecond
 
-// lateStarts are the steps that start the sidecars which start during the run.
+// lateStarts returns the step that starts all sidecars that join during the run. It returns nil if there are none.
 func (r *run) lateStarts() []step {
 	var numbers []int
 	for i := range r.Plan.Sidecars {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,9 +1,10 @@
-// Package lab runs scenarios: the real program between simulated clients, servers and discovery, with faults between
-// them, on loopback addresses. docs/lab.md says how it is used and what it does not promise.
+// Package lab runs scenarios: the real program between simulated clients, servers and discovery, with faults injected
+// between them, on loopback addresses. docs/lab.md describes its use and its limits.
 //
-// The sidecars and the replicas of the registry are child processes. All other parties are in this process, on one clock,
-// and record what they see. Everything that is drawn is drawn before the run from one seed (package scenario); the
-// invariants are checked after it from the records (package invariant). Package harness has the phases of every run.
+// The sidecars and the replicas of the registry are child processes. All other parties run in this process, share one
+// clock and record what they observe. All random values of a run are drawn before it starts, from one seed (package
+// scenario). After the run the invariants are checked against the records (package invariant). Package harness contains
+// the phases that all runs share.
 package lab
 
 import (
@@ -17,7 +18,8 @@
 	"marblelane/internal/lab/simulate"
 )
 
-// Run plays a scenario. An error means that it could not be played; what the run shows is in the report.
+// Run runs a scenario and returns its report. An error means that the scenario could not be run. A broken invariant or
+// a missed expectation is not an error: it is in the report.
 func Run(ctx context.Context, s *scenario.Scenario, o harness.Options) (*report.Report, error) {
 	base, err := harness.New(s, o)
 	if err != nil {
@@ -30,7 +32,7 @@
 	return base.Execute(ctx, newRun(base))
 }
 
-// Simulate plays a scenario on a simulated clock (package simulate), with the same rules, figures and expectations.
+// Simulate runs a scenario on a simulated clock (package simulate), with the same invariants, figures and expectations.
 func Simulate(ctx context.Context, s *scenario.Scenario, seed uint64, o simulate.Options) (*report.Report, error) {
 	plan := s.Plan(seed)
 	run, err := simulate.Run(ctx, plan, o)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -23,7 +23,7 @@
 	"marblelane/lab/scenarios"
 )
 
-// The real programs, built once for all tests.
+// programs are the real programs, built once for all tests.
 var programs labtest.Programs
 
 func TestMain(m *testing.M) { os.Exit(labtest.Run(m, &programs)) }
@@ -46,7 +46,7 @@
 	return s
 }
 
-// runScenario runs a scenario; a run in which the lab was late is played again, a few times.
+// runScenario runs a scenario. It runs it up to three times while the lab is late, since a late lab gives no verdict.
 func runScenario(t *testing.T, s *scenario.Scenario) *report.Report {
 	t.Helper()
 	var rep *report.Report
@@ -64,7 +64,7 @@
 	return rep
 }
 
-// Each rule has a planted defect that breaks it, and nothing else.
+// Each invariant has a scenario with a planted defect that breaks this invariant and no other.
 func TestPlantedDefectsAreCaught(t *testing.T) {
 	caught := map[string]bool{}
 	t.Run("all", func(t *testing.T) {
@@ -74,7 +74,7 @@
 			}
 			s := loadScenario(t, name)
 			if len(s.Expect.MustBreak) != 1 {
-				t.Errorf("%s plants %d defects", name, len(s.Expect.MustBreak))
+				t.Errorf("%s expects %d broken invariants, want 1", name, len(s.Expect.MustBreak))
 				continue
 			}
 			caught[s.Expect.MustBreak[0]] = true
@@ -84,17 +84,17 @@
 				end, reason := rep.Outcome()
 				want := s.Expect.MustBreak[0]
 				if end == report.Late && !slices.Contains(rep.Verdict.Broken(), want) {
-					t.Skip("the lab was late in each play, and late parties are held to nothing")
+					t.Skip("the lab was late in each run, so invariants were not checked")
 				}
 				if !slices.Contains(rep.Verdict.Broken(), want) {
-					t.Fatalf("%s: %s; want rule %s broken", end, reason, want)
+					t.Fatalf("%s: %s; want invariant %s broken", end, reason, want)
 				}
 				if end == report.Late {
-					t.Log("the lab was late; that no other rule is broken was not looked at")
+					t.Log("the lab was late, so it was not checked that no other invariant is broken")
 					return
 				}
 				if end != report.Fail || len(rep.Verdict.Broken()) != 1 {
-					t.Errorf("%s: %s; want only rule %s broken", end, reason, want)
+					t.Errorf("%s: %s; want only invariant %s broken", end, reason, want)
 					for _, b := range rep.Verdict.Breaches {
 						if b.Rule != want {
 							t.Logf("%s at %.3f s: %s\n  %s", b.Rule, b.At, b.Text, strings.Join(b.Path, "\n  "))
@@ -103,7 +103,7 @@
 				}
 				for _, b := range rep.Verdict.Breaches {
 					if b.Request != "" && len(b.Path) == 0 {
-						t.Errorf("the breach %q has no path", b.Text)
+						t.Errorf("breach %q has no path of its request", b.Text)
 					}
 				}
 			})
@@ -111,12 +111,13 @@
 	})
 	for _, rule := range scenario.InvariantNames() {
 		if !caught[rule] {
-			t.Errorf("no scenario plants a defect against rule %s", rule)
+			t.Errorf("no scenario plants a defect that breaks invariant %s", rule)
 		}
 	}
 }
 
-// With faults between real copies every rule holds, and the fault was there.
+// All invariants hold while real sidecars and replicas suffer faults. The value of each scenario states whether its
+// fault harms requests, which shows that the fault was injected.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	for name, harms := range map[string]bool{
 		"cut-requests": true, "cut-answers": true, "freeze": true, "herd": true, "roll": false, "upgrade": false,
@@ -143,25 +144,25 @@
 				t.Errorf("%s at %.3f s: %s\n  %s", b.Rule, b.At, b.Text, strings.Join(b.Path, "\n  "))
 			}
 			if harms && rep.Result.Figures.InObjective == 1 {
-				t.Error("nobody was harmed: the fault did not take place")
+				t.Error("all requests met the objective: the fault had no effect")
 			}
 			if rep.Routes != nil {
 				assert.Empty(t, rep.Missed)
 			}
 			if o := rep.Registry; o != nil {
 				if len(o.WriteGaps) == 0 || o.Writes == 0 || o.FailedReads > 0 || len(rep.Missed) > 0 {
-					t.Errorf("no fault, no write, or lost reads: %+v, %v", o, rep.Missed)
+					t.Errorf("no write gap, no writes, failed reads or missed expectations: %+v, %v", o, rep.Missed)
 				}
 				return
 			}
 			if rep.Verdict.Checked["unsafe-once"] == 0 || rep.Verdict.Checked["one-answer"] == 0 {
-				t.Errorf("rules were held to nothing: %v", rep.Verdict.Checked)
+				t.Errorf("invariants were not checked on any request: %v", rep.Verdict.Checked)
 			}
 		})
 	}
 }
 
-// Replicas whose disks fail and heal recover by themselves, also where no other could be read meanwhile.
+// Replicas whose disks fail and heal recover without an operator, even if no other replica was readable meanwhile.
 func TestRun_replicasRecoverWhenDisksHeal(t *testing.T) {
 	for _, name := range []string{"registry-disk-heals-alone", "registry-disk-heals-killed"} {
 		t.Run(name, func(t *testing.T) {
@@ -191,7 +192,7 @@
 zones = ["here"]
 `
 
-// What is open before and after a run is the same, also when it was ended early or failed to start.
+// A run leaves no descriptors or goroutines open, even if it was ended early or failed to start.
 func TestRun_cleanup(t *testing.T) {
 	descriptors := func() int {
 		d, err := os.ReadDir("/proc/self/fd")
@@ -201,7 +202,7 @@
 	awaitDescriptors := func(before int) {
 		t.Helper()
 		if !assert.Eventually(t, func() bool { return descriptors() <= before }, 10*time.Second, 10*time.Millisecond) {
-			t.Fatalf("%d descriptors, %d before", descriptors(), before)
+			t.Fatalf("%d descriptors are open, want at most %d", descriptors(), before)
 		}
 	}
 	s := parseScenario(t, smallScenario)
@@ -220,7 +221,7 @@
 		}
 		awaitDescriptors(before)
 	})
-	t.Run("a copy that does not start", func(t *testing.T) {
+	t.Run("a sidecar that does not start", func(t *testing.T) {
 		_, err := Run(t.Context(), s, harness.Options{Program: "/bin/false", Dir: t.TempDir()})
 		if err == nil || !strings.Contains(err.Error(), "sidecar 0") || !strings.Contains(err.Error(), "did not start (exit status 1)") {
 			t.Errorf("got %v", err)
@@ -239,8 +240,8 @@
 	}
 }
 
-// A port that somebody takes between the look and the start is changed for another; one that is always taken is an
-// error that names the copy and the address.
+// If another process takes the port between its choice and the start, the run uses another port. If each port is in
+// use, the error names the sidecar and the address.
 func TestRun_portTaken(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -256,10 +257,10 @@
 		return harness.FreeSidecarAddr(n)
 	}})
 	if err != nil || calls != 2 {
-		t.Fatalf("after %d addresses: %v", calls, err)
+		t.Fatalf("run after %d addresses: %v, want success after 2", calls, err)
 	}
 	if len(rep.Result.Sidecars) != 1 || rep.Result.Sidecars[0].Requests == 0 {
-		t.Errorf("it served nothing: %+v", rep.Result.Sidecars)
+		t.Errorf("the sidecar served no requests: %+v", rep.Result.Sidecars)
 	}
 	_, err = Run(t.Context(), s, harness.Options{Program: programs.Sidecar, Dir: t.TempDir(),
 		FreeAddr: func(int) (string, error) { return l.Addr().String(), nil }})
@@ -268,7 +269,7 @@
 	}
 }
 
-// What a report saves can be read back, plots included; every picture is marked with its faults.
+// A saved report can be read back, its plots are PNG files, and the timeline marks the faults.
 func TestReport_saved(t *testing.T) {
 	s := parseScenario(t, smallScenario+"[[fault]]\nat = \"500ms\"\nfor = \"1s\"\nkind = \"slow\"\nservers = \"1\"\nsize = 3\n")
 	rep := runScenario(t, s)
@@ -282,7 +283,7 @@
 	}
 	var decoded report.Report
 	if err := json.Unmarshal(data, &decoded); err != nil || decoded.Seed != rep.Seed || decoded.Result.Figures != rep.Result.Figures {
-		t.Errorf("read back %+v, %v", decoded.Result, err)
+		t.Errorf("read back %+v, error %v", decoded.Result, err)
 	}
 	for _, name := range []string{"timeline", "latency", "servers"} {
 		png, err := os.ReadFile(filepath.Join(dir, name+".png"))
@@ -292,6 +293,6 @@
 	}
 	svg, err := os.ReadFile(filepath.Join(dir, "timeline.svg"))
 	if err != nil || !bytes.Contains(svg, []byte(">slow<")) {
-		t.Errorf("the fault is not marked: %v", err)
+		t.Errorf("the timeline does not mark the fault, error %v", err)
 	}
 }
--- a/internal/lab/labtest/labtest.go
+++ b/internal/lab/labtest/labtest.go
@@ -11,11 +11,11 @@
 	"go.uber.org/goleak"
 )
 
-// Programs are the files of the real programs.
+// Programs holds the paths of the built programs.
 type Programs struct{ Sidecar, Marblelane string }
 
-// Run is for TestMain. It builds the programs, runs the tests, and returns the exit status, which is also a failure if
-// goroutines are left.
+// Run is called by TestMain. It builds the programs, runs the tests and returns the exit status. It also fails if goroutines
+// are still running after the tests.
 func Run(m *testing.M, programs *Programs) int {
 	dir, err := os.MkdirTemp("", "lab-test-")
 	if err == nil {
@@ -23,7 +23,7 @@
 		*programs, err = build(dir)
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "the programs cannot be built:", err)
+		fmt.Fprintln(os.Stderr, "cannot build the programs:", err)
 		return 1
 	}
 	code := m.Run()
@@ -37,7 +37,7 @@
 	return 0
 }
 
-// build builds the programs into dir.
+// build builds the programs into dir and returns their paths.
 func build(dir string) (Programs, error) {
 	cmd := exec.Command("go", "build", "-o", dir+"/", "marblelane/cmd/sidecar", "marblelane/cmd/marblelane")
 	if out, err := cmd.CombinedOutput(); err != nil {
--- a/internal/lab/members_test.go
+++ b/internal/lab/members_test.go
@@ -33,7 +33,7 @@
 checks = ["shares", "not-gone"]
 `
 
-// Real sidecars find each other, and notice that one of them is killed.
+// Real sidecars discover each other, and detect that one of them is killed.
 func TestRun_membersNoticeKill(t *testing.T) {
 	rep := runScenario(t, parseScenario(t, fleetOfThree))
 	end, reason := rep.Outcome()
--- a/internal/lab/parties.go
+++ b/internal/lab/parties.go
@@ -14,7 +14,7 @@
 	"marblelane/internal/lab/stock"
 )
 
-// Start brings all parties up.
+// Start starts all parties of the run.
 func (r *run) Start(ctx context.Context) error {
 	r.makeDiscoveryLinks()
 	entries, err := r.startServers()
@@ -37,7 +37,7 @@
 	return r.startSidecars(ctx)
 }
 
-// makeDiscoveryLinks makes the links between each sidecar and each discovery service.
+// makeDiscoveryLinks creates the links between each sidecar and each discovery service.
 func (r *run) makeDiscoveryLinks() {
 	for k := range max(r.Scenario.Discovery.Services, r.Scenario.Discovery.RegistryReplicas) {
 		var row []*relay.Link
@@ -48,7 +48,8 @@
 	}
 }
 
-// startServers starts all servers of the plan, and gives the entries of those that discovery lists from the beginning.
+// startServers starts all servers of the plan. It returns the entries of the servers that discovery lists from the
+// start. Spare servers are stopped again until a fault starts them.
 func (r *run) startServers() (entries []agent.Entry, err error) {
 	r.serverStarts = make([]atomic.Int64, len(r.Plan.Servers))
 	for _, p := range r.Plan.Pods {
@@ -67,7 +68,7 @@
 	return entries, nil
 }
 
-// startRegistry starts the replicas of the registry, as members of the fleet where there is membership.
+// startRegistry starts the replicas of the registry. If the scenario has membership, they join the fleet as members.
 func (r *run) startRegistry(ctx context.Context, entries []agent.Entry) error {
 	if err := r.openRegistry(ctx, entries); err != nil || r.members == nil {
 		return err
@@ -75,7 +76,7 @@
 	return r.members.StartReplicas(ctx, r.registry.cluster)
 }
 
-// startAgents starts simulated discovery services.
+// startAgents starts the simulated discovery services.
 func (r *run) startAgents(entries []agent.Entry) error {
 	addr := func(sidecar, server int) string { return r.servers[server].Port.Addr(sidecar) }
 	for _, links := range r.discoveryLinks {
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// addServer starts the server of this number in the plan.
+// addServer starts the stand-in server with number i in the plan.
 func (r *run) addServer(i int) error {
 	p := &r.Plan.Servers[i]
 	healthCheckWork := -1.0
@@ -121,6 +122,7 @@
 	return nil
 }
 
+// link returns the link between a sidecar and a server, and creates it at its first use.
 func (r *run) link(sidecar, server int) *relay.Link {
 	r.linkMu.Lock()
 	defer r.linkMu.Unlock()
@@ -135,10 +137,10 @@
 	return l
 }
 
-// clientAddr is where the clients of a sidecar connect.
+// clientAddr returns the address to which the clients of sidecar i connect.
 func (r *run) clientAddr(i int) string {
 	if r.program == NoProgram {
-		// Spread over all servers by the time; a counter would need a lock.
+		// The time spreads requests over all servers without the lock that a counter would need.
 		n := int(r.Events.Now()/time.Microsecond) % r.Scenario.Servers.Count
 		return r.servers[n].Port.Addr(i)
 	}
@@ -148,7 +150,7 @@
 	return r.sidecars[i].addr()
 }
 
-// noNewConns tells whether a sidecar's clients open no new connections at this moment.
+// noNewConns reports whether the clients of sidecar i open no new connections at present.
 func (r *run) noNewConns(i int) bool {
 	return r.program != NoProgram && r.sidecars[i].noNewConns.Load()
 }
--- a/internal/lab/plain_servers.go
+++ b/internal/lab/plain_servers.go
@@ -10,14 +10,14 @@
 	"marblelane/internal/lab/stock"
 )
 
-// PlainServers are the stand-in servers of a scenario without sidecars and without the lab's clients.
+// PlainServers runs the stand-in servers of a scenario without sidecars and without the lab's clients.
 type PlainServers struct {
 	base   *harness.Run
 	run    *run
 	cancel context.CancelFunc
 }
 
-// StartServers starts the servers of a scenario. Close has to be called after it, unless it returns an error.
+// StartServers starts the servers of a scenario. The caller must call Close unless StartServers returns an error.
 func StartServers(ctx context.Context, s *scenario.Scenario, o harness.Options) (*PlainServers, error) {
 	plain := *s
 	plain.Sidecars.Program = NoProgram
@@ -35,10 +35,11 @@
 	return servers, nil
 }
 
-// Arrivals are the planned requests.
+// Arrivals returns the planned requests.
 func (s *PlainServers) Arrivals() []scenario.Arrival { return s.run.Plan.Arrivals }
 
-// Expect tells the servers what to do for a request of this ID, and returns the address to send it to.
+// Expect registers a request with the servers, which then respond to it as the arrival specifies. It returns the
+// address to which the request has to be sent.
 func (s *PlainServers) Expect(id uint64, arrival *scenario.Arrival) (addr string) {
 	s.run.requests.Add(id, stock.ClientRequest{Method: http.MethodGet, Class: arrival.Class, Sum: record.Sum(nil),
 		Work: arrival.Work, Answer: s.run.Scenario.Traffic.ResponseBytes})
--- a/internal/lab/registry_proxy.go
+++ b/internal/lab/registry_proxy.go
@@ -26,20 +26,20 @@
 	"marblelane/internal/route"
 )
 
-// registryProxy lets sidecars follow the real registry in place of simulated discovery. Between each sidecar and replica is
-// a proxy, as each sidecar reaches the servers at addresses of its own: it writes those into the entries, and records what
-// the sidecar is sent. It changes nothing else of the protocol.
+// registryProxy connects sidecars to the real registry in place of simulated discovery. Each replica has a proxy in
+// front of it. Each sidecar reaches the servers at its own addresses, so the proxy writes those into the entries of
+// the list. It also records which entries were sent to the sidecar. It changes nothing else in the protocol.
 type registryProxy struct {
 	run            *run
 	cluster        *cluster.Cluster
 	proxies        []*relay.Port                           // by replica
-	serverByUID    map[string]int                          // its number
-	rollbackDefect atomic.Pointer[rollouts.RollbackDefect] // nil: it is not planted
+	serverByUID    map[string]int                          // server number by UID
+	rollbackDefect atomic.Pointer[rollouts.RollbackDefect] // nil if the defect is not planted
 
 	mu        sync.Mutex
-	removed   map[int]bool // servers whose entries were removed
-	published map[int]int  // by server: how many changes were published
-	applied   map[int]int  // by server: the last change that was written
+	removed   map[int]bool // by server: whether the last applied change removed its entry
+	published map[int]int  // by server: number of changes that were published
+	applied   map[int]int  // by server: number of the last change that was written
 	timers    []*time.Timer
 
 	writes chan func(context.Context)
@@ -48,12 +48,12 @@
 }
 
 const (
-	writeQueue        = 1000
-	heartbeatInterval = 100 * time.Millisecond // of the leader
-	writeRetryDelay   = 20 * time.Millisecond
+	writeQueue        = 1000                   // largest number of pending writes to the registry
+	heartbeatInterval = 100 * time.Millisecond // of the leader to its followers
+	writeRetryDelay   = 20 * time.Millisecond  // between two attempts of a write
 )
 
-// openRegistry starts the replicas with a list of all servers that run, and the proxies before them.
+// openRegistry starts the replicas, writes the entries of all running servers to them, and opens the proxies.
 func (r *run) openRegistry(ctx context.Context, entries []agent.Entry) error {
 	s := &registryProxy{run: r, serverByUID: map[string]int{}, removed: map[int]bool{}, published: map[int]int{},
 		applied: map[int]int{}, writes: make(chan func(context.Context), writeQueue)}
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// runWrites runs the writes one after another, until ctx ends.
+// runWrites runs the queued writes one after another until ctx is done.
 func (s *registryProxy) runWrites(ctx context.Context) {
 	for {
 		select {
@@ -94,7 +94,7 @@
 	}
 }
 
-// openProxy opens the proxy before a replica. The links are those of the sidecars to it.
+// openProxy opens the proxy in front of a replica. links are the links of the sidecars to it, by sidecar.
 func (s *registryProxy) openProxy(links []*relay.Link, replica *cluster.Replica) error {
 	p, err := relay.Listen(func(sidecar int) *relay.Link {
 		if sidecar >= len(links) {
@@ -103,13 +103,13 @@
 		return links[sidecar]
 	}, func(conn *relay.Conn) { s.forward(conn, replica) })
 	if err != nil {
-		return fmt.Errorf("list service: %w", err)
+		return fmt.Errorf("open list service proxy: %w", err)
 	}
 	s.proxies = append(s.proxies, p)
 	return nil
 }
 
-// writeEntry writes the state of a server, and retries until a leader accepts it.
+// writeEntry writes the state of a server to the registry, and retries until a leader accepts it or ctx is done.
 func (s *registryProxy) writeEntry(ctx context.Context, e agent.Entry) error {
 	method, path, body := http.MethodPost, "/registry/instances/"+e.UID, []byte(nil)
 	switch e.State {
@@ -130,15 +130,15 @@
 			if err == nil && (code == http.StatusOK || code == http.StatusNotFound) {
 				return nil
 			}
-			s.run.Log.Debug("lab: the registry rejects a write", "uid", e.UID, "code", code, "answer", string(text), "err", err)
+			s.run.Log.Debug("lab: registry rejected a write", "uid", e.UID, "code", code, "answer", string(text), "err", err)
 		}
 		if !harness.Sleep(ctx, writeRetryDelay) {
-			return errors.New("list service: no leader takes a write")
+			return errors.New("list service: no leader accepted the write")
 		}
 	}
 }
 
-// publish writes a change after a delay. Changes are written in the order in which they become due.
+// publish writes a change to the registry after a delay. Changes are written in the order in which they become due.
 func (s *registryProxy) publish(e agent.Entry, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,18 +149,19 @@
 		defer s.wg.Done()
 		s.writes <- func(ctx context.Context) {
 			s.mu.Lock()
-			if change < s.applied[e.Number] { // a later one has overtaken it, as at simulated discovery
+			if change < s.applied[e.Number] { // skipped as in simulated discovery: a later change was applied first
 				s.mu.Unlock()
 				return
 			}
 			s.applied[e.Number] = change
 			s.removed[e.Number] = e.State == agent.Gone
 			s.mu.Unlock()
-			_ = s.writeEntry(ctx, e) // it ends without it only with the run
+			_ = s.writeEntry(ctx, e) // it fails only when the run ends
 		}
 	}))
 }
 
+// close discards the pending writes, and closes the proxies and the replicas.
 func (s *registryProxy) close() {
 	s.mu.Lock()
 	for _, t := range s.timers {
@@ -177,10 +178,10 @@
 	s.cluster.Stop()
 }
 
-// maxRequestBytes bounds the body of a call of a sidecar.
+// maxRequestBytes is the largest request body that is forwarded for a sidecar.
 const maxRequestBytes = 4 << 20
 
-// forward passes one call of a sidecar on to a replica, and the answer back.
+// forward forwards one request of a sidecar to a replica, and the response to the sidecar.
 func (s *registryProxy) forward(conn *relay.Conn, replica *cluster.Replica) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -194,13 +195,13 @@
 		return
 	}
 	closed := make(chan struct{})
-	go func() { // the next byte, or the end
+	go func() { // cancels the request when the sidecar closes the connection or sends more
 		_, _ = in.Peek(1)
 		cancel()
 		close(closed)
 	}()
 	defer func() {
-		_ = conn.SetReadDeadline(time.Unix(1, 0)) // wakes the goroutine above
+		_ = conn.SetReadDeadline(time.Unix(1, 0)) // ends the Peek of the goroutine above
 		<-closed
 	}()
 	outgoing, err := http.NewRequestWithContext(ctx, req.Method, replica.URL(req.URL.RequestURI()), bytes.NewReader(body))
@@ -208,9 +209,10 @@
 		return
 	}
 	outgoing.Header = req.Header.Clone()
-	resp, err := (&http.Transport{DisableKeepAlives: true, DisableCompression: true}).RoundTrip(outgoing) // a redirect is the caller's to follow
+	// A transport, as it does not follow redirects: the sidecar does.
+	resp, err := (&http.Transport{DisableKeepAlives: true, DisableCompression: true}).RoundTrip(outgoing)
 	if err != nil {
-		return // the connection ends, as it would at the replica itself
+		return // the connection ends, as a connection to the replica would
 	}
 	defer resp.Body.Close()
 	if _, err := io.WriteString(conn, s.header(resp, conn.Caller)); err != nil {
@@ -222,7 +224,7 @@
 	}
 }
 
-// header is the header of an answer as a sidecar gets it.
+// header returns the header of the response that is sent to a sidecar.
 func (s *registryProxy) header(resp *http.Response, sidecar int) string {
 	text := fmt.Sprintf("HTTP/1.1 %s\r\nConnection: close\r\n", resp.Status)
 	for _, key := range []string{"Retry-After", "Content-Type", "X-Registry-Rev", "X-Registry-Heard-Ms"} {
@@ -236,10 +238,10 @@
 	return text + "Transfer-Encoding: chunked\r\n\r\n"
 }
 
-// lineRewriter is the text that is sent in place of a line; sent has to be called once it was.
+// lineRewriter returns the text to send in place of a line. The caller calls sent once the text was sent.
 type lineRewriter func(line []byte) (text []byte, sent func())
 
-// rewriterOf is how the lines of an answer are rewritten.
+// rewriterOf returns the rewriter for the lines of a response.
 func (s *registryProxy) rewriterOf(sidecar int, path string, status int) lineRewriter {
 	switch {
 	case status != http.StatusOK:
@@ -250,7 +252,7 @@
 	return func(line []byte) ([]byte, func()) { return s.rewriteList(sidecar, line) }
 }
 
-// forwardLines sends each line of an answer as one chunk.
+// forwardLines sends each line of a response as one chunk. It returns an error if the response could not be sent.
 func forwardLines(to io.Writer, from io.Reader, rewrite lineRewriter) error {
 	for lines := bufio.NewReader(from); ; {
 		line, err := lines.ReadBytes('\n')
@@ -259,17 +261,17 @@
 				if _, err := fmt.Fprintf(to, "%x\r\n%s\r\n", len(text), text); err != nil {
 					return err
 				}
-				sent() // not before: a link that is cut may hold the line back
+				sent() // only now, since a cut link can delay the line
 			}
 		}
 		if err != nil {
-			return nil // the replica has ended the answer
+			return nil // the replica has ended the response
 		}
 	}
 }
 
-// proxyURL is the address at which a sidecar follows a redirect: that of the proxy of the replica, so that faults of the
-// sidecar's links hold there too.
+// proxyURL returns the URL at which a sidecar follows a redirect. The address of a replica is replaced by that of its
+// proxy, so that faults of the sidecar's links also apply to the redirected request.
 func (s *registryProxy) proxyURL(sidecar int, location string) string {
 	u, err := url.Parse(location)
 	if err != nil {
@@ -283,7 +285,8 @@
 	return u.String()
 }
 
-// passRoutes is the line that a sidecar is sent in place of a line of the registry's routes.
+// rewriteRoutes returns the line to send to a sidecar in place of a line of the registry's route table, which it
+// records.
 func (s *registryProxy) rewriteRoutes(line []byte) []byte {
 	if o := s.run.rollouts.Load(); o != nil {
 		o.RecordLine(line)
@@ -294,8 +297,8 @@
 	return line
 }
 
-// rewriteList writes a sidecar's own addresses into a line. Once the line was sent, the changes in it are recorded. A line
-// that is no list stays as it is.
+// rewriteList returns a line of the list with the sidecar's own addresses. Calling sent records the changes in the
+// line. A line that is not a list is returned unchanged.
 func (s *registryProxy) rewriteList(sidecar int, line []byte) (text []byte, sent func()) {
 	var list state.List
 	if len(bytes.TrimSpace(line)) == 0 || json.Unmarshal(line, &list) != nil {
@@ -319,7 +322,7 @@
 	if list.All {
 		s.mu.Lock()
 		for n, removed := range s.removed {
-			if removed && !listed[n] { // a whole list tells by leaving it out
+			if removed && !listed[n] { // a complete list reports a removal by omitting the entry
 				addEvent(n, agent.Gone, s.run.serverStarts[n].Load())
 			}
 		}
@@ -336,7 +339,7 @@
 	}
 }
 
-// discoveryAddrs are the addresses of the discovery services of a sidecar, in order of preference.
+// discoveryAddrs returns the addresses of a sidecar's discovery services in order of preference.
 func (r *run) discoveryAddrs(sidecar int) []string {
 	var addrs []string
 	if r.registry != nil {
@@ -350,7 +353,7 @@
 	return addrs
 }
 
-// initialList is the list that a sidecar starts from.
+// initialList returns the list in a sidecar's configuration, with which it starts.
 func (r *run) initialList(sidecar int) agent.List {
 	if r.registry == nil {
 		return r.agents[0].ListFor(sidecar)
--- a/internal/lab/resend.go
+++ b/internal/lab/resend.go
@@ -8,16 +8,18 @@
 	"time"
 )
 
-// resendRule says which sidecars' requests a planted defect sends again, and how.
+// resendRule selects the requests that a planted defect sends again, and how it does so.
 type resendRule struct {
-	defect   string
-	sidecars []int
+	defect   string // name of the defect; empty means none
+	sidecars []int  // whose requests are sent again
 }
 
-// resendDelay is when a request is sent again by "send-again", "tell-whole" and "send-often": the first has ended by then.
+// resendDelay is the delay before "send-again", "tell-whole" and "send-often" send a request again. The first has
+// ended by then.
 const resendDelay = 1500 * time.Millisecond
 
-// observeRequest sees each request that reaches a server, and sends it again where a planted defect wants it.
+// observeRequest is called for each request that reaches a server. It sends the request again to another server if a
+// planted defect requires it.
 func (r *run) observeRequest(server, sidecar int, req *http.Request, body []byte) {
 	rule := r.resendRule.Load()
 	if rule == nil || rule.defect == "" || req.Header.Get("X-Overheard") != "" {
@@ -31,9 +33,10 @@
 	r.Tasks.Go(func() {
 		timeoutHeader := ""
 		if rule.defect == "tell-whole" {
-			timeoutHeader = "X-Timeout-Ms: " + req.Header.Get("X-Timeout-Ms") + "\r\n" // as much as when the first was sent
+			timeoutHeader = "X-Timeout-Ms: " + req.Header.Get("X-Timeout-Ms") + "\r\n" // not reduced by the time since then
 		}
-		send := func(id string) { _ = resend(other, req, id, timeoutHeader, body) } // a failed resend is no defect
+		// A resend that fails is no defect, so its error is ignored.
+		send := func(id string) { _ = resend(other, req, id, timeoutHeader, body) }
 		switch rule.defect {
 		case "send-twice":
 			send(id)
@@ -51,10 +54,10 @@
 	})
 }
 
-// maxResends bounds the requests that are sent again in a run.
+// maxResends is the largest number of requests that are sent again in a run.
 const maxResends = 5
 
-// resend sends a request as a sidecar would, with a header line more or none, and waits for its answer.
+// resend sends a request as a sidecar would and waits for the response. extraHeader is a whole header line, or empty.
 func resend(addr string, req *http.Request, id, extraHeader string, body []byte) error {
 	c, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
--- a/internal/lab/response_proxy.go
+++ b/internal/lab/response_proxy.go
@@ -11,10 +11,11 @@
 	"marblelane/internal/lab/harness"
 )
 
-// responseProxy is a proxy between clients and a sidecar that drops or doubles answers while a planted defect is on.
+// responseProxy is a proxy between clients and a sidecar. While a planted defect is on, it drops or duplicates
+// responses.
 type responseProxy struct {
 	addr     string
-	defect   atomic.Pointer[string]
+	defect   atomic.Pointer[string] // never nil; an empty string means none
 	listener net.Listener
 	wg       sync.WaitGroup
 	mu       sync.Mutex
@@ -22,10 +23,11 @@
 	closed   bool
 }
 
+// openResponseProxy opens a proxy that forwards connections to the sidecar at target.
 func openResponseProxy(target string) (*responseProxy, error) {
 	l, err := net.Listen("tcp4", harness.HostOf(target)+":0")
 	if err != nil {
-		return nil, fmt.Errorf("lab: answer proxy: %w", err)
+		return nil, fmt.Errorf("lab: open response proxy: %w", err)
 	}
 	p := &responseProxy{addr: l.Addr().String(), listener: l, conns: map[net.Conn]struct{}{}}
 	none := ""
@@ -42,6 +44,7 @@
 	return p, nil
 }
 
+// track registers a connection for close. It returns false if the proxy is already closed.
 func (p *responseProxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,6 +54,7 @@
 	return !p.closed
 }
 
+// close closes the proxy and all its connections, and waits for its goroutines.
 func (p *responseProxy) close() {
 	p.listener.Close()
 	p.mu.Lock()
@@ -62,7 +66,7 @@
 	p.wg.Wait()
 }
 
-// forward carries one connection.
+// forward forwards one connection of a client to the sidecar at target.
 func (p *responseProxy) forward(client net.Conn, target string) {
 	defer client.Close()
 	server, err := net.Dial("tcp4", target)
@@ -74,7 +78,7 @@
 		return
 	}
 	p.wg.Go(func() {
-		_, _ = io.Copy(server, client) // the end of either side ends both
+		_, _ = io.Copy(server, client) // the end of either connection ends both
 		_ = server.(*net.TCPConn).CloseWrite()
 	})
 	buf := make([]byte, 64<<10)
--- a/internal/lab/routes_section.go
+++ b/internal/lab/routes_section.go
@@ -1,8 +1,8 @@
 package lab
 
-// This file writes the configuration of routes for sidecars and copies of the list service.
+// This file builds the route settings in the configuration of sidecars.
 
-// programOf is the program that a sidecar runs.
+// programOf returns the path of the program that a sidecar runs.
 func (r *run) programOf(sidecar int) string {
 	if r.Scenario.RunsOlderProgram(sidecar) && r.Options.Older != "" {
 		return r.Options.Older
@@ -10,7 +10,7 @@
 	return r.program
 }
 
-// routesSection is the section of a sidecar's configuration that turns routes on; nil: they are off.
+// routesSection returns the section of a sidecar's configuration that turns routes on, or nil if they are off.
 func (r *run) routesSection(sidecar int) map[string]any {
 	if !r.Scenario.HasRoutes() || r.Scenario.RunsOlderProgram(sidecar) {
 		return nil
--- a/internal/lab/routes_test.go
+++ b/internal/lab/routes_test.go
@@ -10,7 +10,7 @@
 	"marblelane/internal/lab/relay"
 )
 
-// A redirect between copies stays behind the proxies, so that faults of a sidecar's links hold there too.
+// A redirect between replicas goes through the proxies, so that faults of the sidecar's links also apply to it.
 func TestRegistryProxy_redirects(t *testing.T) {
 	port, err := relay.Listen(func(int) *relay.Link { return nil }, func(*relay.Conn) {})
 	require.NoError(t, err)
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file is the phases of a run of sidecars.
+// This file implements the phases of a run with sidecars.
 
 import (
 	"context"
@@ -20,38 +20,38 @@
 	"marblelane/internal/lab/stock"
 )
 
-// NoProgram stands for no sidecars: clients go straight to the servers in turn.
+// NoProgram is the program name of a run without sidecars: the clients connect directly to the servers.
 const NoProgram = "none"
 
-// run is a run of sidecars between clients, servers and discovery.
+// run is a run of a scenario with sidecars between clients, servers and discovery.
 type run struct {
 	*harness.Run
 	program         string
 	requests        *client.RequestLog
 	pods            []*stock.Pod
 	servers         []*stock.Server
-	agents          []*agent.Agents                 // simulated discovery services, each with an agent for every sidecar
-	registry        *registryProxy                  // nil: discovery is simulated
-	rollouts        atomic.Pointer[rollouts.Driver] // nil: the scenario has no routes
-	members         *members.Network                // nil: there is no membership
+	agents          []*agent.Agents                 // by simulated discovery service; each has an agent for every sidecar
+	registry        *registryProxy                  // nil if discovery is simulated
+	rollouts        atomic.Pointer[rollouts.Driver] // nil if the scenario has no routes
+	members         *members.Network                // nil if the scenario has no membership
 	sidecars        []*sidecar
 	responseProxies []*responseProxy
 	load            *client.Load
-	arrivalDelays   []time.Duration // of arrivals, behind their plan
-	workDone        float64         // units that the servers have worked
-	serverStarts    []atomic.Int64  // when each server started last, Unix ms; 0: before the run
-	// serverClock is the offset of the servers' wall clock, in ms.
+	arrivalDelays   []time.Duration // by arrival: how much later than planned it was sent
+	workDone        float64         // units of work that the servers have done
+	serverStarts    []atomic.Int64  // by server: its last start, in Unix ms; 0 if it was not started during the run
+	// serverClock is the offset of the servers' wall clock from that of the lab, in ms.
 	serverClock atomic.Int64
 
 	resendRule  atomic.Pointer[resendRule]
 	resendCount atomic.Int64
 
 	linkMu          sync.Mutex
-	links           map[[2]int]*relay.Link  // by sidecar and server
+	links           map[[2]int]*relay.Link  // by numbers of sidecar and server
 	discoveryLinks  [][]*relay.Link         // by discovery service and sidecar
-	handshakeDelays []*relay.HandshakeDelay // that have begun
+	handshakeDelays []*relay.HandshakeDelay // all that were started
 
-	processWatchers sync.WaitGroup // of processes; they end after Tasks
+	processWatchers sync.WaitGroup // goroutines that wait for processes to end; they end after those of Tasks
 }
 
 func newRun(base *harness.Run) *run {
@@ -63,15 +63,15 @@
 	return r
 }
 
-// Drive sends the arrivals of the plan and injects its faults.
+// Drive sends the planned requests and injects the planned faults.
 func (r *run) Drive(ctx context.Context) error {
-	r.Log.Info("lab: all parties are up", "sidecars", len(r.sidecars), "servers", len(r.servers), "seed", r.Plan.Seed)
+	r.Log.Info("lab: all parties started", "sidecars", len(r.sidecars), "servers", len(r.servers), "seed", r.Plan.Seed)
 	r.shiftArrivals(r.StartedAt)
 	r.Tasks.Go(func() { r.sampleProcesses(ctx) })
 	r.Tasks.Go(func() { r.injectFaults(ctx) })
 	if r.Scenario.HasRoutes() {
 		o := rollouts.New(r.Run, r.registry.cluster)
-		r.rollouts.Store(o) // the sidecars call already
+		r.rollouts.Store(o) // the sidecars already send requests
 		r.Tasks.Go(func() { o.Drive(ctx) })
 	}
 	r.arrivalDelays = r.load.Run(ctx)
@@ -79,14 +79,15 @@
 	return nil
 }
 
-// shiftArrivals moves the arrivals of the plan between its clock and that of the records.
+// shiftArrivals adds offset to the times of all planned arrivals. It converts them between the clock of the plan, which
+// begins with the load, and the clock of the records.
 func (r *run) shiftArrivals(offset time.Duration) {
 	for i := range r.Plan.Arrivals {
 		r.Plan.Arrivals[i].At += offset
 	}
 }
 
-// Collect polls the parties for the last time, and ends the sidecars.
+// Collect takes the last measurements and stops the sidecars.
 func (r *run) Collect(ctx context.Context) error {
 	if r.members != nil {
 		r.members.StopPolling()
@@ -103,10 +104,10 @@
 	return nil
 }
 
-// Check measures the run by its records, and holds it to the rules and expectations.
+// Check computes the figures of the run from its records, and checks its invariants and expectations.
 func (r *run) Check(timers harness.TimerLag) *report.Report {
 	events := r.Events.Events()
-	for i := range events { // on the clock of the plan
+	for i := range events { // convert to the clock of the plan
 		events[i].T -= r.StartedAt
 	}
 	r.shiftArrivals(-r.StartedAt)
@@ -115,7 +116,7 @@
 		routes = o.Facts()
 	}
 	rep := report.New(r.Plan, events, r.workDone, routes, r.Spans(timers.Stalls))
-	if r.members != nil { // before the expectations ask which rules were held to some case
+	if r.members != nil { // before the expectations, which require that some invariants were checked at least once
 		facts := r.members.Facts()
 		invariant.CheckMembers(events, facts, rep.Verdict)
 		rep.Members = members.Result(events, facts)
@@ -131,12 +132,12 @@
 	return rep
 }
 
-// Status is how far the run is.
-func (r *run) Status() string { return fmt.Sprintf("%d requests under way", r.load.InFlight()) }
+// Status returns the progress of the run in words.
+func (r *run) Status() string { return fmt.Sprintf("%d requests in flight", r.load.InFlight()) }
 
-// Close ends whatever runs, in any state.
+// Close ends all processes and parties that still run. It can be called in any state of the run.
 func (r *run) Close() {
-	for _, l := range r.handshakeDelays { // of a run that ended before they did
+	for _, l := range r.handshakeDelays { // those that are still on if the run ended early
 		_ = l.Stop()
 	}
 	for _, s := range r.sidecars {
--- a/internal/lab/sampling.go
+++ b/internal/lab/sampling.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file records what the processes of a run use.
+// This file samples the resource usage of the processes of a run.
 
 import (
 	"context"
@@ -14,6 +14,7 @@
 // sampleInterval is the time between two measurements of the processes.
 const sampleInterval = 500 * time.Millisecond
 
+// sampleProcesses records the usage of all processes at each interval until ctx is done.
 func (r *run) sampleProcesses(ctx context.Context) {
 	t := time.NewTicker(sampleInterval)
 	defer t.Stop()
@@ -27,14 +28,14 @@
 	}
 }
 
-// sampleAll records what each process uses now.
+// sampleAll records the current memory, descriptors and CPU time of the lab and of each sidecar.
 func (r *run) sampleAll() {
 	addSample := func(sidecar int, cpu float64, pids ...int) {
 		e := record.Event{Kind: record.Sample, Sidecar: int32(sidecar), Server: record.None, Class: record.None, Work: cpu}
 		for _, pid := range pids {
 			u, err := process.Measure(pid)
 			if err != nil {
-				return // it has just ended, which is recorded elsewhere
+				return // the process has just ended, which awaitEnd records
 			}
 			e.N, e.Status, e.Work = e.N+u.RSS, e.Status+int32(u.Descriptors), e.Work+u.CPU
 		}
@@ -43,7 +44,7 @@
 		}
 	}
 	addSample(record.None, 0, os.Getpid())
-	for i, s := range r.sidecars { // during an upgrade two processes are one sidecar, to its limits too
+	for i, s := range r.sidecars { // the limits apply to both processes of an upgrade together
 		pids, past := s.processes()
 		addSample(i, past, pids...)
 	}
--- a/internal/lab/server_fault_steps.go
+++ b/internal/lab/server_fault_steps.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file is the steps of the faults of servers, and of the links between them and the sidecars.
+// This file has the steps of the faults of servers and of links.
 
 import (
 	"context"
@@ -48,7 +48,7 @@
 	},
 }
 
-// changeServers sets and takes back a behaviour of all servers of a fault.
+// changeServers returns the steps that set and reset a behaviour of all servers of a fault.
 func (f injection) changeServers(change func(b *stock.Behaviour, on bool)) []step {
 	return f.toggle(func(on bool) error {
 		for _, i := range f.Servers {
@@ -58,13 +58,14 @@
 	})
 }
 
-// serverFault is the steps of a fault that needs no more than whether it is on, and its size.
+// serverFault returns the steps of a server fault whose only parameters are whether it is on and its size.
 func serverFault(change func(b *stock.Behaviour, on bool, size float64)) func(injection) []step {
 	return func(f injection) []step {
 		return f.changeServers(func(b *stock.Behaviour, on bool) { change(b, on, f.size(on)) })
 	}
 }
 
+// slowServers slows down all requests, or makes those of the fault's classes heavier.
 func slowServers(f injection) []step {
 	return f.changeServers(func(b *stock.Behaviour, on bool) {
 		if len(f.Fault.Classes) > 0 {
@@ -75,19 +76,22 @@
 	})
 }
 
+// failRequests fails a share of the requests of the fault's classes. No classes means all.
 func failRequests(f injection) []step {
 	return f.changeServers(func(b *stock.Behaviour, on bool) {
 		b.Fail, b.FailOf = f.size(on), f.classes(f.Fault.Classes)
 	})
 }
 
+// closeIdle makes servers end idle connections, with or without closing them.
 func closeIdle(f injection) []step {
 	return f.changeServers(func(b *stock.Behaviour, on bool) {
 		b.Idle, b.ForgetIdle = f.duration(on), on && f.Fault.DropSilently
 	})
 }
 
-// loseEntries takes a share of the servers off the list, though they are there, and puts them back.
+// loseEntries removes the entries of a share of the servers from the list although the servers run, or lists them
+// again.
 func (r *run) loseEntries(p *scenario.FaultPlan, on bool) {
 	for i := range int(p.Fault.Size * float64(r.Scenario.Servers.Count)) {
 		state := agent.Ready
@@ -98,7 +102,7 @@
 	}
 }
 
-// classes are the numbers of classes by their names.
+// classes returns the numbers of the classes with these names.
 func (r *run) classes(names []string) []int {
 	var numbers []int
 	for i, c := range r.Scenario.Classes {
@@ -122,7 +126,7 @@
 	"break":       linkFault(func(r *relay.Rules, _ bool, size float64) { r.ResetAfterBytes = int64(size) }),
 }
 
-// changeLinks sets and takes back a rule of all links of a fault.
+// changeLinks returns the steps that set and reset a rule of all links of a fault.
 func (f injection) changeLinks(change func(r *relay.Rules, on bool)) []step {
 	return f.toggle(func(on bool) error {
 		f.eachLink(f.FaultPlan, func(_ *relay.Port, _ int, l *relay.Link) {
@@ -132,18 +136,20 @@
 	})
 }
 
-// linkFault is the steps of a fault that needs no more than whether it is on, and its size.
+// linkFault returns the steps of a link fault whose only parameters are whether it is on and its size.
 func linkFault(change func(r *relay.Rules, on bool, size float64)) func(injection) []step {
 	return func(f injection) []step {
 		return f.changeLinks(func(r *relay.Rules, on bool) { change(r, on, f.size(on)) })
 	}
 }
 
+// cutLinks cuts the links in the fault's direction.
 func cutLinks(f injection) []step {
 	direction := map[string]relay.Direction{"to": relay.To, "from": relay.From, "both": relay.Both}[f.Fault.Direction]
 	return f.toggle(func(on bool) error { return f.cut(f.FaultPlan, direction, on) })
 }
 
+// delayLinks replaces the latency of the links.
 func delayLinks(f injection) []step {
 	var before time.Duration
 	return f.changeLinks(func(r *relay.Rules, on bool) {
@@ -155,6 +161,7 @@
 	})
 }
 
+// resetConnections resets all open connections of the links once.
 func resetConnections(f injection) []step {
 	return f.once(func(context.Context) error {
 		f.eachLink(f.FaultPlan, func(port *relay.Port, sidecar int, _ *relay.Link) {
@@ -167,7 +174,7 @@
 	})
 }
 
-// delayHandshakes lets a share of the new connections come up late.
+// delayHandshakes delays the handshakes of a share of the new connections.
 func delayHandshakes(f injection) []step {
 	var delay *relay.HandshakeDelay
 	return f.toggle(func(on bool) error {
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file is the faults of the stand-ins for servers.
+// This file implements the faults of the stand-in servers and of their links.
 
 import (
 	"context"
@@ -15,7 +15,8 @@
 	"marblelane/internal/lab/stock"
 )
 
-// cut makes links silent one way or both; either way new connections never come up.
+// cut stops the traffic of links in one direction or both, or lets it flow again. While a link is cut in any
+// direction, no new connection is established.
 func (r *run) cut(p *scenario.FaultPlan, direction relay.Direction, on bool) error {
 	var failed error
 	r.eachLink(p, func(port *relay.Port, sidecar int, l *relay.Link) {
@@ -35,19 +36,21 @@
 	return failed
 }
 
-// vanish takes whole machines off the network: silence, and a reset of what is open once they are back.
+// vanish disconnects whole machines from the network, or connects them again. Their links are cut meanwhile, and their
+// open connections are reset when they return.
 func (r *run) vanish(servers []int, on bool) error {
 	p := &scenario.FaultPlan{Servers: servers}
 	for i := range r.Plan.Sidecars {
 		p.Sidecars = append(p.Sidecars, i)
 	}
-	if !on { // what was open is gone with the machine's state
+	if !on { // the machine has lost the state of its connections
 		r.eachLink(p, func(port *relay.Port, sidecar int, _ *relay.Link) { port.EachConn(sidecar, (*relay.Conn).Reset) })
 	}
 	return r.cut(p, relay.Both, on)
 }
 
-// publish lets discovery list the state of a server after the delay with which it notices.
+// publish makes discovery list the state of server i after delay, which is the time discovery needs to notice the
+// change.
 func (r *run) publish(i int, state string, delay scenario.Duration) {
 	if r.registry != nil {
 		r.registry.publish(r.Entry(i, state, r.serverStarts[i].Load()), delay.Duration())
@@ -57,6 +60,7 @@
 	}
 }
 
+// killServer kills server i. Discovery removes it after its crash delay.
 func (r *run) killServer(i int) error {
 	r.Note(record.ServerState, record.None, i, "dies")
 	r.servers[i].Kill()
@@ -64,6 +68,7 @@
 	return nil
 }
 
+// startServer starts server i again. Discovery lists it after its add delay.
 func (r *run) startServer(i int) error {
 	r.Note(record.ServerState, record.None, i, invariant.ServerStarted)
 	if err := r.servers[i].Restart(); err != nil {
@@ -74,8 +79,9 @@
 	return nil
 }
 
-// drainServers ends servers in order: discovery lists them as terminating, they reject new requests once all sidecars know
-// and their grace is over, end, and start again. Those that stay do not end, and serve all requests.
+// drainServers restarts servers in an orderly way: discovery lists them as terminating, they reject new requests once
+// all sidecars know the new state and the grace period is over, then end and start again. With keepServing they are
+// only listed as terminating, and go on serving all requests.
 func (r *run) drainServers(ctx context.Context, servers []int, keepServing bool) error {
 	for _, i := range servers {
 		r.Note(record.ServerState, record.None, i, "drains")
@@ -106,7 +112,8 @@
 	return harness.ForEach(servers, r.startServer)
 }
 
-// replaceServers starts a new machine for each of the servers, under a new name, and ends the old ones in order.
+// replaceServers starts a new machine with a new name for each of the servers, then lists the old ones as terminating
+// and ends them after their grace period.
 func (r *run) replaceServers(ctx context.Context, p *scenario.FaultPlan) error {
 	if err := harness.ForEach(p.Replacements, r.startServer); err != nil {
 		return err
--- a/internal/lab/sidecar_fault_steps.go
+++ b/internal/lab/sidecar_fault_steps.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file is the steps of the faults of sidecars, and of what discovery tells them.
+// This file has the steps of the faults of sidecars and of simulated discovery.
 
 import (
 	"context"
@@ -47,7 +47,7 @@
 	},
 }
 
-// eachList calls do for each list of a sidecar that a fault concerns.
+// eachList calls call for each discovery service and sidecar that a fault affects.
 func (f injection) eachList(call func(a *agent.Agents, sidecar int)) {
 	for _, a := range f.discoveryServices(f.Fault) {
 		for _, i := range f.Sidecars {
@@ -56,7 +56,7 @@
 	}
 }
 
-// changeLists sets and takes back a behaviour of all lists of a fault.
+// changeLists returns the steps that set and reset a behaviour of all lists of a fault.
 func (f injection) changeLists(change func(b *agent.Behaviour, on bool)) []step {
 	return f.toggle(func(on bool) error {
 		f.eachList(func(a *agent.Agents, sidecar int) {
@@ -66,7 +66,7 @@
 	})
 }
 
-// listFault is the steps of a fault of the list's text.
+// listFault returns the steps of a fault in the text of the list.
 func listFault(kind string) func(injection) []step {
 	return func(f injection) []step {
 		return f.changeLists(func(b *agent.Behaviour, on bool) {
@@ -95,12 +95,12 @@
 	},
 }
 
-// eachSidecar calls do for all sidecars of a fault at once.
+// eachSidecar calls call for all sidecars of a fault concurrently.
 func (f injection) eachSidecar(call func(*sidecar) error) error {
 	return harness.ForEach(f.Sidecars, func(i int) error { return call(f.sidecars[i]) })
 }
 
-// sidecarFault is the steps of a fault that happens to each sidecar at one moment.
+// sidecarFault returns the step of a fault that is injected once into each sidecar.
 func sidecarFault(do func(*sidecar, context.Context) error) func(injection) []step {
 	return func(f injection) []step {
 		return f.once(func(ctx context.Context) error {
@@ -109,7 +109,7 @@
 	}
 }
 
-// changeFaults sets and takes back a fault inside the processes of sidecars.
+// changeFaults returns the steps that set and reset a fault inside the processes of sidecars.
 func (f injection) changeFaults(change func(set *fault.Config, on bool)) []step {
 	return f.toggle(func(on bool) error {
 		return f.eachSidecar(func(s *sidecar) error {
@@ -118,10 +118,12 @@
 	})
 }
 
+// stepClocks steps the clocks of the sidecars' processes.
 func stepClocks(f injection) []step {
 	return f.changeFaults(func(set *fault.Config, on bool) { set.ClockStep = tomlfile.Duration(f.duration(on)) })
 }
 
+// failCalls makes a system call of the sidecars' processes fail with the fault's error number.
 func failCalls(f injection) []step {
 	return f.changeFaults(func(set *fault.Config, on bool) {
 		delete(set.Calls, f.Fault.Call)
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file is the faults of sidecars and of their discovery.
+// This file implements the faults of sidecars and of their discovery.
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"marblelane/internal/lab/record"
 )
 
-// migrateDiscovery gives discovery another address and tells the sidecars with SIGHUP.
+// migrateDiscovery moves discovery to another address, rewrites the sidecars' configuration files and sends SIGHUP.
 func (r *run) migrateDiscovery() error {
 	for _, a := range r.agents {
 		if err := a.MigratePort(); err != nil {
@@ -30,8 +30,10 @@
 	return nil
 }
 
+// note records an event of the sidecar's process.
 func (s *sidecar) note(text string) { s.run.Note(record.Process, s.number, record.None, text) }
 
+// freeze suspends the process, or resumes it.
 func (s *sidecar) freeze(on bool) error {
 	if !on {
 		s.note(invariant.Thawed)
@@ -41,7 +43,7 @@
 	return s.current().Signal(syscall.SIGSTOP)
 }
 
-// crash ends the process as a crash of its machine would.
+// crash kills the process, as a crash of its machine would.
 func (s *sidecar) crash() error {
 	c := s.current()
 	s.note(invariant.Killed)
@@ -50,24 +52,25 @@
 	return nil
 }
 
-// restart is a planned one: SIGTERM, the end, and a new process with the same name and address.
+// restart is a planned restart: it sends SIGTERM, waits for the end of the process, and starts a new process with the
+// same name and address.
 func (s *sidecar) restart(ctx context.Context) error {
 	s.stop(s.current(), harness.StopTimeout)
 	return s.launch(ctx)
 }
 
-// terminate is a planned restart as hard as the platform may make it: clients open connections for a while after SIGTERM and
-// go on sending on every one that stays open, and SIGKILL comes at its earliest.
+// terminate is the hardest planned restart that the platform allows: clients open new connections for a while after
+// SIGTERM and go on sending on each connection that stays open, and SIGKILL follows at the earliest permitted time.
 func (s *sidecar) terminate(ctx context.Context) error {
 	defer time.AfterFunc(connectWindow, func() { s.noNewConns.Store(true) }).Stop()
 	s.stop(s.current(), s.run.Scenario.KillDelay())
-	s.noNewConns.Store(true) // before the timer, where it has ended sooner
+	s.noNewConns.Store(true) // also if the process ended before the timer fired
 	err := s.launch(ctx)
 	s.noNewConns.Store(false)
 	return err
 }
 
-// upgrade starts a second process beside the first, which is stopped once the new one serves.
+// upgrade starts a second process beside the first, and stops the first once the second serves.
 func (s *sidecar) upgrade(ctx context.Context) error {
 	old := s.current()
 	if err := s.launch(ctx); err != nil {
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file is a sidecar's processes: how they are configured, started and ended.
+// This file configures, starts and stops the processes of sidecars.
 
 import (
 	"context"
@@ -25,36 +25,37 @@
 	"marblelane/internal/lab/record"
 )
 
-// maxPortAttempts is how many ports are tried for a process.
+// maxPortAttempts is the number of ports that are tried for a process.
 const maxPortAttempts = 3
 
-// sidecar is one sidecar with its process, or two during an upgrade.
+// sidecar is one sidecar with its process, or with two processes during an upgrade.
 type sidecar struct {
 	run      *run
 	number   int
 	dir      string
 	listen   string
-	config   string     // file
-	configMu sync.Mutex // held while the file is replaced: a restart and a move of discovery may meet
+	config   string     // path of the configuration file
+	configMu sync.Mutex // held while the file is replaced, since a restart and a move of discovery can coincide
 	mu       sync.Mutex
 	child    *process.Child
 	oldChild *process.Child
 	pastCPU  float64 // CPU seconds of processes that have ended
 	starts   int
 
-	noNewConns atomic.Bool            // clients open no new connections
-	faults     fault.Config           // in its file of faults; under mu
-	startStall atomic.Int64           // planted defect: how long a process does nothing at its start, in ns
-	stopDefect atomic.Pointer[string] // planted defect at SIGTERM; empty or nil: none
+	noNewConns atomic.Bool            // the clients open no new connections
+	faults     fault.Config           // content of the file of faults; guarded by mu
+	startStall atomic.Int64           // planted defect: for how long a process is suspended at its start, in ns; 0: none
+	stopDefect atomic.Pointer[string] // planted defect at SIGTERM; nil or an empty string means none
 }
 
+// addr returns the address on which the sidecar listens for its clients.
 func (s *sidecar) addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listen
 }
 
-// processes are the living ones, with the CPU time of those before.
+// processes returns the IDs of the running processes, and the CPU seconds of those that have ended.
 func (s *sidecar) processes() (pids []int, past float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,12 +72,13 @@
 	return pids, s.pastCPU
 }
 
-// startSidecars starts all and waits until each says that it serves.
+// startSidecars starts all sidecars, except those that start during the run, and waits until each reports that it
+// serves.
 func (r *run) startSidecars(ctx context.Context) error {
 	r.responseProxies = make([]*responseProxy, len(r.Plan.Sidecars))
 	for i := range r.Plan.Sidecars {
 		s := &sidecar{run: r, number: i, dir: filepath.Join(r.Dir, r.Plan.Sidecars[i].Name)}
-		if r.Scenario.StartsLate(i) { // it may have the name of another one
+		if r.Scenario.StartsLate(i) { // its name can be that of another sidecar
 			s.dir += "-late"
 		}
 		s.config = filepath.Join(s.dir, "config.json")
@@ -86,7 +88,7 @@
 	defer cancel()
 	initial := slices.DeleteFunc(slices.Clone(r.sidecars), func(s *sidecar) bool { return r.Scenario.StartsLate(s.number) })
 	errs := make(chan error, len(initial))
-	slots := make(chan struct{}, 8) // starts at a time, as they cost the most
+	slots := make(chan struct{}, 8) // limits concurrent starts, the most expensive phase of a process
 	for _, s := range initial {
 		r.Tasks.Go(func() {
 			slots <- struct{}{}
@@ -104,8 +106,8 @@
 	return r.openResponseProxies()
 }
 
-// start starts the sidecar on a free address. The platform reserves its addresses; here another process may take one before
-// the start, so another is tried.
+// start starts the sidecar on a free address. The platform reserves its addresses. In the lab another process can take
+// the address before the start, so start tries several.
 func (s *sidecar) start(ctx context.Context) error {
 	var err error
 	for range maxPortAttempts {
@@ -119,12 +121,12 @@
 		if err = s.launch(ctx); err == nil || !strings.Contains(err.Error(), "address already in use") {
 			return err
 		}
-		s.run.Log.Warn("lab: port taken, trying another", "sidecar", s.number, "addr", s.listen)
+		s.run.Log.Warn("lab: port is in use, trying another", "sidecar", s.number, "addr", s.listen)
 	}
 	return fmt.Errorf("sidecar %d: after %d ports: %w", s.number, maxPortAttempts, err)
 }
 
-// launch starts a process and waits until it serves.
+// launch starts a process of the sidecar and waits until it serves.
 func (s *sidecar) launch(ctx context.Context) error {
 	r, p := s.run, &s.run.Plan.Sidecars[s.number]
 	tmp := filepath.Join(s.dir, "tmp")
@@ -144,7 +146,7 @@
 	s.mu.Lock()
 	s.starts++
 	s.mu.Unlock()
-	started := r.Events.Now() // before the process can know of its start
+	started := r.Events.Now() // taken before the process can record anything
 	c, err := r.Processes.Start(process.Spec{
 		Name: p.Name, Path: r.programOf(s.number), Dir: s.dir, MaxDescriptors: r.Scenario.Sidecars.MaxSockets,
 		Env: []string{"NODE_CONFIG=" + s.config, "NODE_NAME=" + p.Name, "NODE_LISTEN=" + s.listen,
@@ -174,11 +176,11 @@
 			return fmt.Errorf("sidecar %d: %w", s.number, err)
 		}
 	}
-	r.processWatchers.Go(func() { s.awaitEnd(c) }) // an end before this was a start that failed, which is an error
+	r.processWatchers.Go(func() { s.awaitEnd(c) }) // an earlier end is a failed start, which is returned as an error
 	return nil
 }
 
-// awaitEnd records how a process ended.
+// awaitEnd waits for the end of a process and records whether it ended orderly or crashed.
 func (s *sidecar) awaitEnd(c *process.Child) {
 	<-c.Ended()
 	outcome := invariant.Ended
@@ -187,11 +189,12 @@
 	}
 	s.run.Note(record.Process, s.number, record.None, outcome)
 	if outcome == invariant.Crashed {
-		s.run.Log.Error("lab: a sidecar ended without a signal", "sidecar", s.number, "err", c.Err(), "log", c.LogTail())
+		s.run.Log.Error("lab: sidecar process ended without a signal", "sidecar", s.number, "err", c.Err(), "log", c.LogTail())
 	}
 }
 
-// writeConfig replaces the configuration file; it has the present addresses of discovery and the present list.
+// writeConfig replaces the configuration file. The new one contains the current addresses of discovery and the current
+// list.
 func (s *sidecar) writeConfig() error {
 	r, p := s.run, &s.run.Plan.Sidecars[s.number]
 	config := map[string]any{
@@ -241,10 +244,10 @@
 	return nil
 }
 
-// faultsFile is the file of the faults inside the process.
+// faultsFile returns the path of the file that sets the faults inside the process.
 func (s *sidecar) faultsFile() string { return filepath.Join(s.dir, "faults.toml") }
 
-// changeFaults changes the faults inside the process.
+// changeFaults applies change to the faults inside the process, and writes them to their file.
 func (s *sidecar) changeFaults(change func(*fault.Config)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,14 +255,14 @@
 	return s.faults.Write(s.faultsFile())
 }
 
-// current is the newest process.
+// current returns the newest process. It returns nil if none was started.
 func (s *sidecar) current() *process.Child {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.child
 }
 
-// stop ends a process in order; SIGKILL comes when it has not ended after wait.
+// stop sends SIGTERM to a process and waits for its end. It sends SIGKILL if the process has not ended after wait.
 func (s *sidecar) stop(c *process.Child, wait time.Duration) {
 	s.run.Note(record.Process, s.number, record.None, invariant.Stopping)
 	if s.run.members != nil {
@@ -281,7 +284,7 @@
 	s.addPastCPU(c)
 }
 
-// addPastCPU keeps the CPU time of a process that has ended.
+// addPastCPU adds the CPU time of a process that has ended to pastCPU.
 func (s *sidecar) addPastCPU(c *process.Child) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -291,6 +294,7 @@
 	}
 }
 
+// kill kills all processes of the sidecar.
 func (s *sidecar) kill() {
 	for _, c := range []*process.Child{s.oldChild, s.child} {
 		if c != nil {
@@ -299,6 +303,7 @@
 	}
 }
 
+// stopSidecars stops all sidecars concurrently.
 func (r *run) stopSidecars() {
 	var wg sync.WaitGroup
 	for _, s := range r.sidecars {
