--- a/internal/lab/defects.go
+++ b/internal/lab/defects.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file is the planted defects: each makes the fleet break one invariant, for the checkers to find. None of them is in a
-// sidecar or replica; they are in the proxies, the servers and discovery.
+// This file plants defects. Each makes the fleet break one invariant, which shows that the check of that invariant
+// detects it. No defect is in the code of a sidecar or replica: they are in the proxies, the servers, discovery and
+// the signals sent.
 
 import (
 	"context"
@@ -16,44 +17,44 @@
 	"marblelane/internal/lab/stock"
 )
 
-// openAnswerProxies opens a proxy before each sidecar whose answers a planted defect will change. Clients connect to it
-// while the defect is on.
-func (r *run) openAnswerProxies() error {
+// openResponseProxies opens a proxy in front of each sidecar whose responses a planted defect will change. Clients
+// connect to it while the defect is on.
+func (r *run) openResponseProxies() error {
 	for _, p := range r.Plan.Faults {
 		if p.Fault.Kind != "defect-lose-answer" && p.Fault.Kind != "defect-answer-twice" {
 			continue
 		}
 		for _, i := range p.Sidecars {
-			if r.answerProxies[i] != nil {
+			if r.responseProxies[i] != nil {
 				continue
 			}
-			t, err := openAnswerProxy(r.sidecars[i].addr())
+			proxy, err := openResponseProxy(r.sidecars[i].addr())
 			if err != nil {
 				return err
 			}
-			r.answerProxies[i] = t
+			r.responseProxies[i] = proxy
 		}
 	}
 	return nil
 }
 
-// setDefect begins or ends a planted defect.
+// setDefect turns a planted defect on or off.
 func (r *run) setDefect(defect string, p *scenario.FaultPlan, on bool) {
-	set := defect
+	active := defect
 	if !on {
-		set = ""
+		active = ""
 	}
 	switch defect {
 	case "send-twice", "send-again", "send-often", "invent", "tell-whole":
-		r.resender.Store(&resender{defect: set, sidecars: p.Sidecars})
+		r.resendRule.Store(&resendRule{defect: active, sidecars: p.Sidecars})
 	case "wrong-body":
 		for _, i := range p.Servers {
-			r.servers[i].SetBehaviour(func(b *stock.Behaviour) { b.Defect = set })
+			r.servers[i].SetBehaviour(func(b *stock.Behaviour) { b.Defect = active })
 		}
 	case "told-late", "ignore-drain":
 		for _, i := range p.Sidecars {
 			r.agents[0].SetBehaviour(i, func(b *agent.Behaviour) {
-				b.Defect, b.DefectDelay = set, time.Duration(p.Fault.Size*float64(time.Second))
+				b.Defect, b.DefectDelay = active, time.Duration(p.Fault.Size*float64(time.Second))
 			})
 		}
 	case "undo-rollback":
@@ -62,7 +63,7 @@
 		}
 	case "end-early", "ignore-term":
 		for _, i := range p.Sidecars {
-			r.sidecars[i].stopDefect.Store(&set)
+			r.sidecars[i].stopDefect.Store(&active)
 		}
 	case "ready-late":
 		for _, i := range p.Sidecars {
@@ -72,17 +73,17 @@
 		}
 	case "lose-answer", "answer-twice":
 		for _, i := range p.Sidecars {
-			r.answerProxies[i].defect.Store(&set)
+			r.responseProxies[i].defect.Store(&active)
 		}
 	}
 }
 
-// earlyEndDelay is how long after SIGTERM a process that ends too early is gone.
+// earlyEndDelay is the time from the stop request to the kill of a process with the defect "end-early".
 const earlyEndDelay = 100 * time.Millisecond
 
-// playStopDefect plays a planted defect at SIGTERM in place of the signal: the process ends with requests unanswered, or goes
-// on. It tells whether there is one. The records say nothing of it.
-func (s *sidecar) playStopDefect(c *process.Child) bool {
+// applyStopDefect applies a planted defect in place of SIGTERM: the process ends with requests in flight, or goes on
+// running. It reports whether a defect is planted. The defect is not recorded.
+func (s *sidecar) applyStopDefect(c *process.Child) bool {
 	defect := s.stopDefect.Load()
 	switch {
 	case defect == nil || *defect == "":
@@ -94,13 +95,14 @@
 	return true
 }
 
-// stallStart plays a planted defect at the start of a process: it does nothing for a while. The records say nothing of it.
+// stallStart applies a planted defect at the start of a process: the process is suspended for a while. The defect is
+// not recorded.
 func (s *sidecar) stallStart(ctx context.Context, c *process.Child) {
-	stalls := time.Duration(s.startStall.Load())
-	if stalls == 0 {
+	stall := time.Duration(s.startStall.Load())
+	if stall == 0 {
 		return
 	}
-	_ = c.Signal(syscall.SIGSTOP) // one that has ended says so where its readiness is awaited
-	harness.Sleep(ctx, stalls)
+	_ = c.Signal(syscall.SIGSTOP) // the wait for readiness reports a process that has ended
+	harness.Sleep(ctx, stall)
 	_ = c.Signal(syscall.SIGCONT) // as above
 }
