--- a/cmd/marblelane/lab_list_scale.go
+++ b/cmd/marblelane/lab_list_scale.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	points, err := listscale.Measure(a.ctx, c.Watchers, c.Entries, harness.Options{Self: self, Progress: a.errOut})
+	points, err := listscale.Measure(a.ctx, c.Watchers, c.Entries, harness.Options{RegistryProgram: self, Progress: a.errOut})
 	if err != nil {
 		return err
 	}
--- a/cmd/marblelane/lab_route_scale.go
+++ b/cmd/marblelane/lab_route_scale.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	points, err := routescale.Measure(a.ctx, c.Sidecars, harness.Options{Self: self, Progress: a.errOut})
+	points, err := routescale.Measure(a.ctx, c.Sidecars, harness.Options{RegistryProgram: self, Progress: a.errOut})
 	if err != nil {
 		return err
 	}
--- a/cmd/marblelane/lab_run.go
+++ b/cmd/marblelane/lab_run.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	o := harness.Options{Seed: c.Seed, Log: a.log, Older: c.Older}
+	o := harness.Options{Seed: c.Seed, Log: a.log, OlderProgram: c.Older}
 	if c.Older != "" {
 		if err := executable(c.Older); err != nil {
 			return fmt.Errorf("--older: %w", err)
--- a/internal/lab/agent/agent.go
+++ b/internal/lab/agent/agent.go
@@ -68,25 +68,25 @@
 
 // agentState is the state of one sidecar's agent.
 type agentState struct {
-	sidecar       int
-	mu            sync.Mutex
-	rev           int64
-	entries       map[int]Entry // by number
-	changedRev    map[int]int64 // the revision of each one's last change
-	silent        bool
-	reject        bool
-	delay         time.Duration // added to the delay of each change
-	defect        string
-	defectDelay   time.Duration
-	fault         string
-	fraction      float64   // of the servers in a partial list
-	revOffset     int64     // added to revisions; grows with each history that a fault starts or ends
-	watchBreaks   int       // number of faults that broke watches; a watch started before the last one ends
-	silencings    int       // number of SilenceWatches calls; a watch started before the last one sends nothing more
-	silencedAt    time.Time // time of the last SilenceWatches
-	disconnected  bool      // MarkDisconnected was called
-	form          WatchForm
-	changedSignal chan struct{} // closed at each change
+	sidecar         int
+	mu              sync.Mutex
+	rev             int64
+	entries         map[int]Entry // by number
+	entryRevs       map[int]int64 // the revision of each one's last change
+	silent          bool
+	reject          bool
+	delay           time.Duration // added to the delay of each change
+	defect          string
+	defectDelay     time.Duration
+	fault           string
+	fraction        float64   // of the servers in a partial list
+	revOffset       int64     // added to revisions; grows with each history that a fault starts or ends
+	watchBreakCount int       // number of faults that broke watches; a watch started before the last one ends
+	silenceCount    int       // number of SilenceWatches calls; a watch started before the last one sends nothing more
+	silencedAt      time.Time // time of the last SilenceWatches
+	disconnected    bool      // MarkDisconnected was called
+	watchForm       WatchForm
+	changedSignal   chan struct{} // closed at each change
 }
 
 // The faults of an agent besides silence.
@@ -112,11 +112,11 @@
 	links func(sidecar int) *relay.Link) (*Agents, error) {
 	a := &Agents{log: log, endpoint: endpoint, links: links, rev: 1, lostWatchDelay: lostWatchTimeout}
 	for i := range sidecars {
-		v := &agentState{sidecar: i, rev: 1, entries: map[int]Entry{}, changedRev: map[int]int64{}, changedSignal: make(chan struct{})}
+		state := &agentState{sidecar: i, rev: 1, entries: map[int]Entry{}, entryRevs: map[int]int64{}, changedSignal: make(chan struct{})}
 		for _, e := range list {
-			v.entries[e.Number], v.changedRev[e.Number] = e, 1
+			state.entries[e.Number], state.entryRevs[e.Number] = e, 1
 		}
-		a.agents = append(a.agents, v)
+		a.agents = append(a.agents, state)
 	}
 	if err := a.openPort(); err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 }
 
 func (a *Agents) openPort() error {
-	p, err := relay.Listen(a.links, a.serve)
+	p, err := relay.Listen(a.links, a.serveConnection)
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
@@ -198,18 +198,18 @@
 	first := a.rev + 1
 	a.rev += int64(len(entries))
 	a.mu.Unlock()
-	for i, v := range a.agents {
+	for i, state := range a.agents {
 		wait := notice
 		if len(a.agents) > 1 {
 			wait += spread * time.Duration(i) / time.Duration(len(a.agents)-1)
 		}
-		v.mu.Lock()
-		wait += v.delay
-		v.mu.Unlock()
+		state.mu.Lock()
+		wait += state.delay
+		state.mu.Unlock()
 		a.runAfter(wait, func() {
-			for k, e := range entries {
-				v.set(e, first+int64(k))
-				a.recordMissedChange(v, e, first+int64(k))
+			for offset, e := range entries {
+				state.setEntry(e, first+int64(offset))
+				a.recordMissedChange(state, e, first+int64(offset))
 			}
 		})
 	}
@@ -221,28 +221,28 @@
 
 // SilenceWatches makes the open watches of a sidecar permanently silent; its other calls are answered.
 func (a *Agents) SilenceWatches(sidecar int) {
-	v := a.agents[sidecar]
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.silencings, v.silencedAt = v.silencings+1, time.Now()
-	v.wakeWatches()
+	state := a.agents[sidecar]
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	state.silenceCount, state.silencedAt = state.silenceCount+1, time.Now()
+	state.wakeWatches()
 }
 
 // MarkDisconnected notes that a sidecar's connections to its agent were reset: later changes are recorded as notified
 // after lostWatchTimeout, even if the sidecar does not reconnect.
 func (a *Agents) MarkDisconnected(sidecar int) {
-	v := a.agents[sidecar]
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.disconnected = true
+	state := a.agents[sidecar]
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	state.disconnected = true
 }
 
 // recordMissedChange records a change as notified after lostWatchTimeout, if the sidecar's watches are silent or reset.
-func (a *Agents) recordMissedChange(v *agentState, e Entry, rev int64) {
-	v.mu.Lock()
-	silenced, disconnected := !v.silencedAt.IsZero(), v.disconnected
-	wait := max(time.Until(v.silencedAt.Add(a.lostWatchDelay)), 0)
-	v.mu.Unlock()
+func (a *Agents) recordMissedChange(state *agentState, e Entry, rev int64) {
+	state.mu.Lock()
+	silenced, disconnected := !state.silencedAt.IsZero(), state.disconnected
+	wait := max(time.Until(state.silencedAt.Add(a.lostWatchDelay)), 0)
+	state.mu.Unlock()
 	switch {
 	case silenced:
 	case disconnected: // discovery is reachable and has the change from now on
@@ -251,52 +251,52 @@
 		return
 	}
 	a.runAfter(wait, func() {
-		v.mu.Lock()
-		latest := v.changedRev[e.Number] == rev
-		reached := silenced || !v.silent && !v.reject
-		v.mu.Unlock()
-		if latest && reached {
-			a.recordNotified(v, List{Targets: []Entry{e}})
+		state.mu.Lock()
+		latest := state.entryRevs[e.Number] == rev
+		delivered := silenced || !state.silent && !state.reject
+		state.mu.Unlock()
+		if latest && delivered {
+			a.recordNotified(state, List{Targets: []Entry{e}})
 		}
 	})
 }
 
-func (v *agentState) set(e Entry, rev int64) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.changedRev[e.Number] > rev {
+func (state *agentState) setEntry(e Entry, rev int64) {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	if state.entryRevs[e.Number] > rev {
 		return // a later change arrived first
 	}
-	v.entries[e.Number], v.changedRev[e.Number] = e, rev
-	v.rev = max(v.rev, rev)
-	v.wakeWatches()
+	state.entries[e.Number], state.entryRevs[e.Number] = e, rev
+	state.rev = max(state.rev, rev)
+	state.wakeWatches()
 }
 
-func (v *agentState) wakeWatches() {
-	close(v.changedSignal)
-	v.changedSignal = make(chan struct{})
+func (state *agentState) wakeWatches() {
+	close(state.changedSignal)
+	state.changedSignal = make(chan struct{})
 }
 
 // SetBehaviour changes the faults of one sidecar's agent.
 func (a *Agents) SetBehaviour(sidecar int, change func(*Behaviour)) {
-	v := a.agents[sidecar]
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	b := Behaviour{v.silent, v.reject, v.delay, v.defect, v.defectDelay, v.fault, v.fraction, v.form}
+	state := a.agents[sidecar]
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	b := Behaviour{state.silent, state.reject, state.delay, state.defect, state.defectDelay, state.fault, state.fraction, state.watchForm}
 	change(&b)
-	if was, is := v.fault, b.Fault; was != is {
-		for _, fault := range []string{was, is} {
+	if previous, is := state.fault, b.Fault; previous != is {
+		for _, fault := range []string{previous, is} {
 			switch fault {
 			case FaultEmptyList, FaultPartialList: // a new history starts
-				v.revOffset += revsPerHistory
+				state.revOffset += revsPerHistory
 			case FaultTruncatedLine, FaultOversizedLine:
-				v.watchBreaks++
+				state.watchBreakCount++
 			}
 		}
 	}
-	v.silent, v.reject, v.delay, v.defect, v.defectDelay, v.fault, v.fraction = b.Silent, b.Reject, b.Delay, b.Defect, b.DefectDelay, b.Fault, b.Fraction
-	v.form = b.Form
-	v.wakeWatches()
+	state.silent, state.reject, state.delay, state.defect, state.defectDelay, state.fault, state.fraction = b.Silent, b.Reject, b.Delay, b.Defect, b.DefectDelay, b.Fault, b.Fraction
+	state.watchForm = b.Form
+	state.wakeWatches()
 }
 
 // Behaviour is the set of faults and the watch form of an agent.
@@ -313,29 +313,29 @@
 
 // ListFor returns the current list of a sidecar's agent, for the configuration of a starting sidecar.
 func (a *Agents) ListFor(sidecar int) List {
-	v := a.agents[sidecar]
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return a.changesSince(v, -1)
+	state := a.agents[sidecar]
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	return a.changesSince(state, -1)
 }
 
 // changesSince returns the changes after a revision, or the complete list. v.mu is held.
-func (a *Agents) changesSince(v *agentState, after int64) List {
-	l := List{Rev: v.rev + v.revOffset, All: after < v.revOffset || after > v.rev+v.revOffset || after < 0, Targets: []Entry{}}
+func (a *Agents) changesSince(state *agentState, after int64) List {
+	l := List{Rev: state.rev + state.revOffset, All: after < state.revOffset || after > state.rev+state.revOffset || after < 0, Targets: []Entry{}}
 	fractionSum := 0.0
-	for _, n := range slices.Sorted(maps.Keys(v.entries)) {
-		e := v.entries[n]
-		if l.All && e.State == Gone || !l.All && v.changedRev[n]+v.revOffset <= after {
+	for _, n := range slices.Sorted(maps.Keys(state.entries)) {
+		e := state.entries[n]
+		if l.All && e.State == Gone || !l.All && state.entryRevs[n]+state.revOffset <= after {
 			continue
 		}
-		if fractionSum += v.fraction; l.All && (v.fault == FaultEmptyList || v.fault == FaultPartialList && fractionSum < 1) {
+		if fractionSum += state.fraction; l.All && (state.fault == FaultEmptyList || state.fault == FaultPartialList && fractionSum < 1) {
 			continue
 		}
 		fractionSum -= math.Floor(fractionSum)
-		e.Endpoint = a.endpoint(v.sidecar, n)
+		e.Endpoint = a.endpoint(state.sidecar, n)
 		l.Targets = append(l.Targets, e)
 	}
 	return l
 }
 
-var errCallerGone = errors.New("agent: the caller is gone")
+var errCallerDisconnected = errors.New("agent: the caller is gone")
--- a/internal/lab/agent/serve.go
+++ b/internal/lab/agent/serve.go
@@ -16,12 +16,12 @@
 	"marblelane/internal/lab/relay"
 )
 
-// serve answers the calls on one connection.
-func (a *Agents) serve(c *relay.Conn) {
+// serveConnection answers the calls on one connection.
+func (a *Agents) serveConnection(c *relay.Conn) {
 	if c.Caller >= len(a.agents) {
 		return
 	}
-	v := a.agents[c.Caller]
+	state := a.agents[c.Caller]
 	in := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(in)
@@ -29,13 +29,13 @@
 			return
 		}
 		req.Body.Close()
-		if a.answer(v, c, in, req) != nil || req.Close {
+		if a.handleRequest(state, c, in, req) != nil || req.Close {
 			return
 		}
 	}
 }
 
-func (a *Agents) answer(v *agentState, c *relay.Conn, in *bufio.Reader, req *http.Request) error {
+func (a *Agents) handleRequest(state *agentState, c *relay.Conn, in *bufio.Reader, req *http.Request) error {
 	ended := make(chan struct{})
 	go func() { // waits for the next byte or the end of the stream
 		_, _ = in.Peek(1)
@@ -46,45 +46,45 @@
 		<-ended
 		_ = c.SetReadDeadline(time.Time{})
 	}()
-	if !v.waitNotSilent(ended) {
-		return errCallerGone
+	if !state.waitNotSilent(ended) {
+		return errCallerDisconnected
 	}
-	v.mu.Lock()
-	reject := v.reject
-	v.mu.Unlock()
+	state.mu.Lock()
+	reject := state.reject
+	state.mu.Unlock()
 	switch {
 	case reject:
 		return write(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	case req.URL.Path != "/registry/instances" || req.Method != http.MethodGet:
 		return write(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 	case req.URL.Query().Get("watch") == "":
-		v.mu.Lock()
-		l := a.firstAnswer(v, -1)
-		v.mu.Unlock()
+		state.mu.Lock()
+		l := a.firstResponse(state, -1)
+		state.mu.Unlock()
 		body, err := json.Marshal(l)
 		if err != nil {
 			return err
 		}
 		head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(body))
-		if err := v.writePieces(c, head+string(body), func(piece string) string { return piece }); err != nil {
+		if err := state.writePieces(c, head+string(body), func(piece string) string { return piece }); err != nil {
 			return err
 		}
-		a.recordNotified(v, l)
+		a.recordNotified(state, l)
 		return nil
 	}
 	after, err := strconv.ParseInt(req.URL.Query().Get("after"), 10, 64)
 	if err != nil {
 		after = -1
 	}
-	return a.watch(v, c, after, ended)
+	return a.watch(state, c, after, ended)
 }
 
 // waitNotSilent blocks while the agent is silent; false: the connection ended.
-func (v *agentState) waitNotSilent(ended <-chan struct{}) bool {
+func (state *agentState) waitNotSilent(ended <-chan struct{}) bool {
 	for {
-		v.mu.Lock()
-		silent, wake := v.silent, v.changedSignal
-		v.mu.Unlock()
+		state.mu.Lock()
+		silent, wake := state.silent, state.changedSignal
+		state.mu.Unlock()
 		if !silent {
 			return true
 		}
@@ -97,43 +97,43 @@
 }
 
 // watch writes a line at each change until the connection ends.
-func (a *Agents) watch(v *agentState, c *relay.Conn, after int64, ended <-chan struct{}) error {
+func (a *Agents) watch(state *agentState, c *relay.Conn, after int64, ended <-chan struct{}) error {
 	if err := write(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return err
 	}
 	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	first := true
-	v.mu.Lock()
-	breaks, silencings := v.watchBreaks, v.silencings
-	v.mu.Unlock()
+	state.mu.Lock()
+	watchBreakCount, silenceCount := state.watchBreakCount, state.silenceCount
+	state.mu.Unlock()
 	for {
-		if !v.waitNotSilent(ended) {
-			return errCallerGone
+		if !state.waitNotSilent(ended) {
+			return errCallerDisconnected
 		}
-		s := a.watchSnapshot(v, after, first)
+		s := a.watchSnapshot(state, after, first)
 		list := s.list
 		switch {
-		case s.silencings != silencings:
+		case s.silenceCount != silenceCount:
 			<-ended // the caller's close, or this port's
-			return errCallerGone
+			return errCallerDisconnected
 		case s.fault == FaultTruncatedLine || s.fault == FaultOversizedLine:
-			return breakLine(c, s.fault, s.changed, ended)
-		case s.watchBreaks != breaks:
-			return errCallerGone
+			return writeBrokenLine(c, s.fault, s.changed, ended)
+		case s.watchBreakCount != watchBreakCount:
+			return errCallerDisconnected
 		case s.fault == FaultStaleWatch && !first:
 			list = List{}
 		}
 		if s.endOnChange && !first && len(list.Targets) > 0 {
-			return a.endWatch(v, c, list)
+			return a.endWatch(state, c, list)
 		}
 		if len(list.Targets) > 0 || list.All || first {
 			first = false
 			if after = list.Rev; s.defect != "" {
-				list = a.applyDefect(v, list, s.defect, s.defectDelay, ended)
+				list = a.applyDefect(state, list, s.defect, s.defectDelay, ended)
 			}
 			if len(list.Targets) > 0 || list.All {
-				if err := a.writeList(v, c, list, s.defect == ""); err != nil {
+				if err := a.writeList(state, c, list, s.defect == ""); err != nil {
 					return err
 				}
 				continue
@@ -142,9 +142,9 @@
 		select {
 		case <-s.changed:
 		case <-ended:
-			return errCallerGone
+			return errCallerDisconnected
 		case <-tick.C:
-			if err := v.writeHeartbeat(c); err != nil {
+			if err := state.writeHeartbeat(c); err != nil {
 				return err
 			}
 		}
@@ -153,54 +153,54 @@
 
 // snapshot is what a watch needs of an agent's state for one line.
 type snapshot struct {
-	changed                 <-chan struct{} // closed at the next change of the state
-	list                    List
-	endOnChange             bool
-	fault, defect           string
-	defectDelay             time.Duration
-	watchBreaks, silencings int
+	changed                       <-chan struct{} // closed at the next change of the state
+	list                          List
+	endOnChange                   bool
+	fault, defect                 string
+	defectDelay                   time.Duration
+	watchBreakCount, silenceCount int
 }
 
 // watchSnapshot reads the state of an agent and the list to write next on a watch.
-func (a *Agents) watchSnapshot(v *agentState, after int64, first bool) snapshot {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	s := snapshot{changed: v.changedSignal, list: a.changesSince(v, after), endOnChange: v.form.EndOnChange, fault: v.fault,
-		defect: v.defect, defectDelay: v.defectDelay, watchBreaks: v.watchBreaks, silencings: v.silencings}
+func (a *Agents) watchSnapshot(state *agentState, after int64, first bool) snapshot {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	s := snapshot{changed: state.changedSignal, list: a.changesSince(state, after), endOnChange: state.watchForm.EndOnChange, fault: state.fault,
+		defect: state.defect, defectDelay: state.defectDelay, watchBreakCount: state.watchBreakCount, silenceCount: state.silenceCount}
 	if first {
-		s.list = a.firstAnswer(v, after)
+		s.list = a.firstResponse(state, after)
 	}
 	return s
 }
 
 // writeList writes a list as one line of a watch, and records it as notified if notified is set.
-func (a *Agents) writeList(v *agentState, c *relay.Conn, l List, notified bool) error {
+func (a *Agents) writeList(state *agentState, c *relay.Conn, l List, notified bool) error {
 	line, err := json.Marshal(l)
 	if err != nil {
 		return err
 	}
-	if err := v.writeLine(c, string(line)+"\n"); err != nil {
+	if err := state.writeLine(c, string(line)+"\n"); err != nil {
 		return err
 	}
 	if notified {
-		a.recordNotified(v, l)
+		a.recordNotified(state, l)
 	}
 	return nil
 }
 
 // writeHeartbeat writes an empty line, unless the agent is silent.
-func (v *agentState) writeHeartbeat(c *relay.Conn) error {
-	v.mu.Lock()
-	silent := v.silent
-	v.mu.Unlock()
+func (state *agentState) writeHeartbeat(c *relay.Conn) error {
+	state.mu.Lock()
+	silent := state.silent
+	state.mu.Unlock()
 	if silent {
 		return nil
 	}
 	return write(c, "1\r\n\n\r\n")
 }
 
-// breakLine ends a watch in the middle of a line: after a pause, or after oversizedLineBytes.
-func breakLine(c *relay.Conn, fault string, wake, ended <-chan struct{}) error {
+// writeBrokenLine ends a watch in the middle of a line: after a pause, or after oversizedLineBytes.
+func writeBrokenLine(c *relay.Conn, fault string, wake, ended <-chan struct{}) error {
 	const half = `{"rev":1,"all":true,"targets":[{"uid":"s-`
 	if err := write(c, fmt.Sprintf("%x\r\n%s\r\n", len(half), half)); err != nil {
 		return err
@@ -212,21 +212,21 @@
 				return err
 			}
 		}
-		return errCallerGone
+		return errCallerDisconnected
 	}
 	select {
 	case <-wake: // the fault ended or something else changed; the watch is unusable in both cases
 	case <-ended:
 	}
-	return errCallerGone
+	return errCallerDisconnected
 }
 
 // applyDefect plants a defect for the checkers: it records changes as notified that the sidecar gets late or never.
-func (a *Agents) applyDefect(v *agentState, l List, defect string, size time.Duration, ended <-chan struct{}) List {
-	a.recordNotified(v, l)
+func (a *Agents) applyDefect(state *agentState, l List, defect string, delay time.Duration, ended <-chan struct{}) List {
+	a.recordNotified(state, l)
 	if defect == defectNotifyLate {
 		select {
-		case <-time.After(size):
+		case <-time.After(delay):
 		case <-ended:
 		}
 		return l
@@ -236,18 +236,18 @@
 }
 
 // recordNotified records the states that the sidecar knows from now on.
-func (a *Agents) recordNotified(v *agentState, l List) {
+func (a *Agents) recordNotified(state *agentState, l List) {
 	for _, e := range l.Targets {
-		a.log.Add(record.Event{Kind: record.Notified, Sidecar: int32(v.sidecar), Server: int32(e.Number), Class: record.None, N: e.BootMS, Note: e.State})
+		a.log.Add(record.Event{Kind: record.Notified, Sidecar: int32(state.sidecar), Server: int32(e.Number), Class: record.None, N: e.BootMS, Note: e.State})
 	}
 	if !l.All {
 		return
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for n, e := range v.entries {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	for n, e := range state.entries {
 		if e.State == Gone || l.omitsDraining && e.State == Terminating { // omission from a complete list means gone
-			a.log.Add(record.Event{Kind: record.Notified, Sidecar: int32(v.sidecar), Server: int32(n), Class: record.None, N: e.BootMS, Note: Gone})
+			a.log.Add(record.Event{Kind: record.Notified, Sidecar: int32(state.sidecar), Server: int32(n), Class: record.None, N: e.BootMS, Note: Gone})
 		}
 	}
 }
--- a/internal/lab/agent/watch_form.go
+++ b/internal/lab/agent/watch_form.go
@@ -17,12 +17,12 @@
 // pieceInterval is the pause between two pieces.
 const pieceInterval = 2 * time.Millisecond
 
-// firstAnswer returns the first answer to a call for the changes after a revision. v.mu is held.
-func (a *Agents) firstAnswer(v *agentState, after int64) List {
-	if !v.form.CompleteFirst {
-		return a.changesSince(v, after)
+// firstResponse returns the first answer to a call for the changes after a revision. v.mu is held.
+func (a *Agents) firstResponse(state *agentState, after int64) List {
+	if !state.watchForm.CompleteFirst {
+		return a.changesSince(state, after)
 	}
-	l := a.changesSince(v, -1)
+	l := a.changesSince(state, -1)
 	l.omitsDraining = true
 	remaining := l.Targets[:0]
 	for _, e := range l.Targets {
@@ -35,24 +35,24 @@
 }
 
 // endWatch ends a watch cleanly instead of delivering a change, and records the change as notified.
-func (a *Agents) endWatch(v *agentState, c *relay.Conn, l List) error {
-	a.recordNotified(v, l)
+func (a *Agents) endWatch(state *agentState, c *relay.Conn, l List) error {
+	a.recordNotified(state, l)
 	if err := write(c, "0\r\n\r\n"); err != nil {
 		return err
 	}
-	return errCallerGone
+	return errCallerDisconnected
 }
 
 // writeLine writes a line of a watch, in one chunk or in several.
-func (v *agentState) writeLine(c *relay.Conn, line string) error {
-	return v.writePieces(c, line, func(piece string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece) })
+func (state *agentState) writeLine(c *relay.Conn, line string) error {
+	return state.writePieces(c, line, func(piece string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece) })
 }
 
 // writePieces writes a text in pieces of PieceBytes, each wrapped by frame.
-func (v *agentState) writePieces(c *relay.Conn, text string, frame func(string) string) error {
-	v.mu.Lock()
-	size := v.form.PieceBytes
-	v.mu.Unlock()
+func (state *agentState) writePieces(c *relay.Conn, text string, frame func(string) string) error {
+	state.mu.Lock()
+	size := state.watchForm.PieceBytes
+	state.mu.Unlock()
 	if size == 0 {
 		size = len(text)
 	}
--- a/internal/lab/agent/watch_form_test.go
+++ b/internal/lab/agent/watch_form_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// first returns the first answer to a call.
-func first(t *testing.T, a *Agents, path string) List {
+// fetchFirstList returns the fetchFirstList answer to a call.
+func fetchFirstList(t *testing.T, a *Agents, path string) List {
 	t.Helper()
 	defer http.DefaultClient.CloseIdleConnections()
 	resp, err := http.Get("http://" + a.Addr(0) + path)
@@ -68,7 +68,7 @@
 func TestFirstAnswer_completeListOmitsDraining(t *testing.T) {
 	for _, path := range []string{"/registry/instances", "/registry/instances?watch=1&after=1"} {
 		a, log := startAgent(t, WatchForm{CompleteFirst: true})
-		if l := first(t, a, path); !l.All || len(l.Targets) != 1 || l.Targets[0].UID != "s-4" {
+		if l := fetchFirstList(t, a, path); !l.All || len(l.Targets) != 1 || l.Targets[0].UID != "s-4" {
 			t.Errorf("%s: got %+v", path, l)
 		}
 		assert.Eventually(t, func() bool { return notified(log, 5, Gone) }, 10*time.Second, time.Millisecond)
@@ -82,7 +82,7 @@
 func TestWatch_listInPieces(t *testing.T) {
 	for _, path := range []string{"/registry/instances", "/registry/instances?watch=1&after=-1"} {
 		a, _ := startAgent(t, WatchForm{PieceBytes: 3})
-		if l := first(t, a, path); len(l.Targets) != 2 {
+		if l := fetchFirstList(t, a, path); len(l.Targets) != 2 {
 			t.Errorf("%s: got %+v", path, l)
 		}
 	}
--- a/internal/lab/answer_proxy.go
+++ b/internal/lab/answer_proxy.go
@@ -23,7 +23,7 @@
 }
 
 func openAnswerProxy(target string) (*answerProxy, error) {
-	l, err := net.Listen("tcp4", harness.HostOf(target)+":0")
+	l, err := net.Listen("tcp4", harness.Host(target)+":0")
 	if err != nil {
 		return nil, fmt.Errorf("lab: answer proxy: %w", err)
 	}
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -176,7 +176,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	program := cmp.Or(c.config.Program, c.Options.Self)
+	program := cmp.Or(c.config.Program, c.Options.RegistryProgram)
 	replica.Spec = process.Spec{Name: replica.Name, Path: program, Dir: dir, Env: os.Environ()}
 	replica.Spec.Args = []string{"--log-level", "info", "registry", "serve", "--config", replica.configFile()}
 	text := fmt.Sprintf("name = %q\nlisten = %q\nraft = %q\ndir = %q\nbeat = %q\nmost_stale = %q\nlab_faults = %q\n%s",
--- a/internal/lab/experiment/listscale/listscale.go
+++ b/internal/lab/experiment/listscale/listscale.go
@@ -43,8 +43,8 @@
 }
 
 const (
-	changeBurst       = 7 * time.Second // in which half of the entries change
-	beat              = "100ms"         // between two heartbeats of the copy
+	changePeriod      = 7 * time.Second // in which half of the entries change
+	heartbeatInterval = "100ms"         // between two heartbeats of the copy
 	electionAttempts  = 1000
 	electionRetryWait = 20 * time.Millisecond
 	notifyTimeout     = 2 * time.Minute
@@ -84,7 +84,7 @@
 // watcher follows the list and counts what it receives.
 type watcher struct {
 	revision      atomic.Int64
-	received      *atomic.Int64 // bytes, of all watchers together
+	receivedBytes *atomic.Int64 // bytes, of all watchers together
 	mu            sync.Mutex
 	notifications []notification // in the order of their revisions
 }
@@ -138,7 +138,7 @@
 		if err != nil {
 			return
 		}
-		w.received.Add(int64(line.size))
+		w.receivedBytes.Add(int64(line.size))
 		w.revision.Store(line.revision)
 		w.mu.Lock()
 		w.notifications = append(w.notifications, notification{revision: line.revision, at: now()})
@@ -164,26 +164,26 @@
 func readRevision(in *bufio.Reader) (watchLine, error) {
 	var line watchLine
 	for first := true; ; first = false {
-		part, err := in.ReadSlice('\n')
+		chunk, err := in.ReadSlice('\n')
 		if first {
-			text := bytes.TrimPrefix(part, []byte(`{"rev":`))
+			text := bytes.TrimPrefix(chunk, []byte(`{"rev":`))
 			end := bytes.IndexByte(text, ',')
 			if end < 0 {
 				return line, errors.New("a line without a revision")
 			}
 			line.revision, _ = strconv.ParseInt(string(text[:end]), 10, 64)
 		}
-		line.size += len(part)
+		line.size += len(chunk)
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return line, err
 		}
 	}
 }
 
-// write is a change of an entry that was accepted.
-type write struct {
+// acceptedWrite is a change of an entry that was accepted.
+type acceptedWrite struct {
 	revision int64
-	called   time.Duration
+	calledAt time.Duration
 }
 
 // listRun is one copy of the list service with its watchers.
@@ -193,13 +193,13 @@
 	addr     string
 	spec     process.Spec
 	children *process.Supervisor
-	copy     *process.Child
+	replica  *process.Child
 	writer   *http.Client
 
-	watchers    []*watcher
-	received    atomic.Int64 // bytes, of all watchers together
-	watching    sync.WaitGroup
-	cancelWatch context.CancelFunc
+	watchers       []*watcher
+	receivedBytes  atomic.Int64 // bytes, of all watchers together
+	watcherTasks   sync.WaitGroup
+	cancelWatchers context.CancelFunc
 }
 
 func (r *listRun) now() time.Duration { return time.Since(r.start) }
@@ -214,29 +214,29 @@
 	defer os.RemoveAll(dir)
 	r := &listRun{entries: entries, start: time.Now(), children: process.NewSupervisor()}
 	defer r.children.Close()
-	if err := r.configure(dir, o.Self, eachEncodes); err != nil {
+	if err := r.configure(dir, o.RegistryProgram, eachEncodes); err != nil {
 		return nil, err
 	}
-	if err := r.startCopy(ctx); err != nil {
+	if err := r.startReplica(ctx); err != nil {
 		return nil, err
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	defer transport.CloseIdleConnections()
 	r.writer = &http.Client{Transport: transport, Timeout: harness.CallTimeout}
-	if err := r.fill(ctx); err != nil {
+	if err := r.writeAllEntries(ctx); err != nil {
 		return nil, err
 	}
 	p := &Point{EachEncodes: eachEncodes, Watchers: watchers, Entries: entries, Changes: entries / 2}
-	defer r.stopWatching()
+	defer r.stopWatchers()
 	joined, err := r.measureJoin(ctx, p)
 	if err != nil {
 		return nil, err
 	}
-	last, err := r.measureChanges(ctx, p, joined)
+	lastRevision, err := r.measureChanges(ctx, p, joined)
 	if err != nil {
 		return nil, err
 	}
-	return p, r.measureRecovery(ctx, p, last)
+	return p, r.measureRecovery(ctx, p, lastRevision)
 }
 
 // configure writes the copy's configuration into dir.
@@ -252,29 +252,29 @@
 	r.addr = addr
 	file := filepath.Join(dir, "list.toml")
 	text := fmt.Sprintf("name = \"one\"\nlisten = %q\nraft = %q\ndir = %q\nbeat = %q\neach_encodes = %v\n",
-		addr, raftAddr, filepath.Join(dir, "data"), beat, eachEncodes)
+		addr, raftAddr, filepath.Join(dir, "data"), heartbeatInterval, eachEncodes)
 	r.spec = process.Spec{Name: "list", Path: program, Dir: dir, Env: os.Environ(),
 		Args: []string{"registry", "serve", "--config", file}}
 	return os.WriteFile(file, []byte(text), 0o644)
 }
 
-// startCopy starts the copy and waits until it is ready.
-func (r *listRun) startCopy(ctx context.Context) error {
+// startReplica starts the copy and waits until it is ready.
+func (r *listRun) startReplica(ctx context.Context) error {
 	child, err := r.children.Start(r.spec)
 	if err != nil {
 		return err
 	}
-	r.copy = child
+	r.replica = child
 	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
 	_, err = child.AwaitLog(ctx, harness.ReadyText)
 	return err
 }
 
-// fill writes all entries, the first as soon as the copy is elected.
-func (r *listRun) fill(ctx context.Context) error {
+// writeAllEntries writes all entries, the first as soon as the copy is elected.
+func (r *listRun) writeAllEntries(ctx context.Context) error {
 	for attempt := 0; ; attempt++ {
-		_, err := r.put(0, 1)
+		_, err := r.writeEntry(0, 1)
 		if err == nil {
 			break
 		}
@@ -283,14 +283,14 @@
 		}
 	}
 	return harness.Parallel(r.entries, fillConcurrency, func(i int) error {
-		_, err := r.put(i, 1)
+		_, err := r.writeEntry(i, 1)
 		return err
 	})
 }
 
-// put writes an entry with this boot time.
-func (r *listRun) put(entry int, bootMS int64) (write, error) {
-	w := write{called: r.now()}
+// writeEntry writes an entry with this boot time.
+func (r *listRun) writeEntry(entry int, bootMS int64) (acceptedWrite, error) {
+	w := acceptedWrite{calledAt: r.now()}
 	url := fmt.Sprintf("http://%s/registry/instances/s-%08x", r.addr, entry)
 	body := fmt.Sprintf(`{"endpoint":"127.0.0.1:%d","az":"limerick-dc","model":"standard","pod_group":%d,"boot_ms":%d}`,
 		1000+entry, entry/4, bootMS)
@@ -309,22 +309,22 @@
 // measureJoin starts the watchers, waits until all have the list, and sets the memory per watcher. It returns what
 // the copy used by then.
 func (r *listRun) measureJoin(ctx context.Context, p *Point) (joined process.Usage, err error) {
-	before, err := process.Measure(r.copy.PID)
+	before, err := process.Measure(r.replica.PID)
 	if err != nil {
 		return joined, err
 	}
 	watching, stop := context.WithCancel(ctx)
-	r.cancelWatch = stop
+	r.cancelWatchers = stop
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for range p.Watchers {
-		w := &watcher{received: &r.received}
+		w := &watcher{receivedBytes: &r.receivedBytes}
 		r.watchers = append(r.watchers, w)
-		r.watching.Go(func() { w.run(watching, client, r.addr, r.now) })
+		r.watcherTasks.Go(func() { w.run(watching, client, r.addr, r.now) })
 	}
 	if err := r.awaitRevision(ctx, 1); err != nil {
 		return joined, err
 	}
-	joined, err = process.Measure(r.copy.PID)
+	joined, err = process.Measure(r.replica.PID)
 	if err != nil {
 		return joined, err
 	}
@@ -332,12 +332,12 @@
 	return joined, nil
 }
 
-// stopWatching ends the watchers, if there are any, and waits for them.
-func (r *listRun) stopWatching() {
-	if r.cancelWatch != nil {
-		r.cancelWatch()
+// stopWatchers ends the watchers, if there are any, and waits for them.
+func (r *listRun) stopWatchers() {
+	if r.cancelWatchers != nil {
+		r.cancelWatchers()
 	}
-	r.watching.Wait()
+	r.watcherTasks.Wait()
 }
 
 // awaitRevision waits until all watchers have a revision.
@@ -354,7 +354,7 @@
 
 // measureChanges changes half of the entries, sets what that costs from before on, and returns the last revision.
 func (r *listRun) measureChanges(ctx context.Context, p *Point, before process.Usage) (last int64, err error) {
-	r.received.Store(0)
+	r.receivedBytes.Store(0)
 	writes, err := r.changeHalf(ctx, p.Changes)
 	if err != nil {
 		return 0, err
@@ -365,63 +365,63 @@
 	if err := r.awaitRevision(ctx, last); err != nil {
 		return 0, err
 	}
-	after, err := process.Measure(r.copy.PID)
+	after, err := process.Measure(r.replica.PID)
 	if err != nil {
 		return 0, err
 	}
 	delays := r.notifyDelays(writes)
 	p.NotifyP50MS = harness.Milliseconds(harness.Quantile(delays, 0.5))
 	p.NotifyP99MS = harness.Milliseconds(harness.Quantile(delays, 0.99))
-	p.BytesPerChange = float64(r.received.Load()) / float64(p.Changes)
+	p.BytesPerChange = float64(r.receivedBytes.Load()) / float64(p.Changes)
 	p.CPUPerChange = 1e6 * (after.CPU - before.CPU) / float64(p.Changes)
 	return last, nil
 }
 
 // changeHalf writes every other entry again, evenly over changeBurst.
-func (r *listRun) changeHalf(ctx context.Context, changes int) ([]write, error) {
-	writes := make([]write, changes)
+func (r *listRun) changeHalf(ctx context.Context, changes int) ([]acceptedWrite, error) {
+	writes := make([]acceptedWrite, changes)
 	start := r.now()
 	err := harness.Parallel(changes, changeConcurrency, func(i int) error {
-		due := start + changeBurst*time.Duration(i)/time.Duration(changes)
+		due := start + changePeriod*time.Duration(i)/time.Duration(changes)
 		if wait := due - r.now(); wait > 0 && !harness.Sleep(ctx, wait) {
 			return ctx.Err()
 		}
 		var err error
-		writes[i], err = r.put(2*i, 2)
+		writes[i], err = r.writeEntry(2*i, 2)
 		return err
 	})
 	return writes, err
 }
 
 // notifyDelays returns, for each write, the time from its call until the last watcher had it, in ascending order.
-func (r *listRun) notifyDelays(writes []write) []time.Duration {
+func (r *listRun) notifyDelays(writes []acceptedWrite) []time.Duration {
 	var delays []time.Duration
 	for _, write := range writes {
 		latest := time.Duration(0)
 		for _, w := range r.watchers {
 			latest = max(latest, w.receivedAt(write.revision))
 		}
-		delays = append(delays, latest-write.called)
+		delays = append(delays, latest-write.calledAt)
 	}
 	slices.Sort(delays)
 	return delays
 }
 
 // measureRecovery kills and restarts the copy, and measures until all watchers have the list again.
-func (r *listRun) measureRecovery(ctx context.Context, p *Point, last int64) error {
-	r.copy.Kill()
+func (r *listRun) measureRecovery(ctx context.Context, p *Point, lastRevision int64) error {
+	r.replica.Kill()
 	for _, w := range r.watchers {
 		w.revision.Store(0)
 	}
-	stopped := r.now()
-	if err := r.startCopy(ctx); err != nil {
+	killedAt := r.now()
+	if err := r.startReplica(ctx); err != nil {
 		return err
 	}
-	if err := r.awaitRevision(ctx, last); err != nil {
+	if err := r.awaitRevision(ctx, lastRevision); err != nil {
 		return err
 	}
-	p.RecoveryTime = (r.now() - stopped).Seconds()
-	if usage, err := process.Measure(r.copy.PID); err == nil {
+	p.RecoveryTime = (r.now() - killedAt).Seconds()
+	if usage, err := process.Measure(r.replica.PID); err == nil {
 		p.PeakMemory = float64(usage.PeakRSS) / (1 << 20)
 	}
 	return nil
--- a/internal/lab/experiment/overhead/overhead.go
+++ b/internal/lab/experiment/overhead/overhead.go
@@ -37,20 +37,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("overhead: %w", err)
 	}
-	out := []Result{{Path: "plain client", Requests: int(plain.TotalCount()),
+	results := []Result{{Path: "plain client", Requests: int(plain.TotalCount()),
 		P50: float64(plain.ValueAtQuantile(50))/1000 - work, P99: float64(plain.ValueAtQuantile(99))/1000 - work}}
 	paths := []struct{ name, program string }{{"the lab's clients", lab.NoProgram}, {"through sidecars", s.Sidecars.Program}}
 	for _, path := range paths {
-		sized := *s
-		sized.Sidecars.Program = path.program
-		report, err := lab.Run(ctx, &sized, o)
+		variant := *s
+		variant.Sidecars.Program = path.program
+		report, err := lab.Run(ctx, &variant, o)
 		if err != nil {
 			return nil, fmt.Errorf("overhead: %s: %w", path.name, err)
 		}
 		f := &report.Result.Figures
-		out = append(out, Result{Path: path.name, P50: f.P50 - work, P99: f.P99 - work, Requests: f.Requests})
+		results = append(results, Result{Path: path.name, P50: f.P50 - work, P99: f.P99 - work, Requests: f.Requests})
 	}
-	return out, nil
+	return results, nil
 }
 
 // measurePlainClient sends the planned requests straight to the stand-ins over kept connections, and measures from their
@@ -138,7 +138,7 @@
 // Print writes the paths as a table.
 func Print(w io.Writer, paths []Result) {
 	fmt.Fprintf(w, "%-20s %9s %12s %12s   (beyond the servers' own work)\n", "asked by", "requests", "p50 ms", "p99 ms")
-	for _, o := range paths {
-		fmt.Fprintf(w, "%-20s %9d %12.3f %12.3f\n", o.Path, o.Requests, o.P50, o.P99)
+	for _, result := range paths {
+		fmt.Fprintf(w, "%-20s %9d %12.3f %12.3f\n", result.Path, result.Requests, result.P50, result.P99)
 	}
 }
--- a/internal/lab/experiment/requestcost/requestcost.go
+++ b/internal/lab/experiment/requestcost/requestcost.go
@@ -210,7 +210,7 @@
 		return err
 	}
 	s.Servers.Count = c.options.Servers
-	if c.run, err = harness.New(s, harness.Options{Seed: 1, Self: c.options.Self, Dir: c.options.Dir}); err != nil {
+	if c.run, err = harness.New(s, harness.Options{Seed: 1, RegistryProgram: c.options.Self, Dir: c.options.Dir}); err != nil {
 		return err
 	}
 	for i := range c.run.Plan.Servers {
--- a/internal/lab/experiment/requestcost/round.go
+++ b/internal/lab/experiment/requestcost/round.go
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	d := &variantRun{variant: v, sidecar: p, load: testbed.NewLoad(p.Listen, c.run.Scenario.Classes[0].Name, c.options.Rate, c.options.Connections, &c.ids)}
-	d.Start = harness.Milliseconds(p.StartTime)
+	d.Start = harness.Milliseconds(p.StartDuration)
 	return d, nil
 }
 
@@ -182,8 +182,8 @@
 	}
 	d.cpuUsed, d.drivenTime = d.cpuUsed+after-before, d.drivenTime+done.Duration
 	d.Requests, d.Failed = d.Requests+done.Sent, d.Failed+done.Failed
-	if done.Reason != "" {
-		d.reason = done.Reason
+	if done.FailureReason != "" {
+		d.reason = done.FailureReason
 	}
 	for _, s := range c.servers {
 		d.received += s.received.Load()
--- a/internal/lab/experiment/testbed/load.go
+++ b/internal/lab/experiment/testbed/load.go
@@ -40,65 +40,65 @@
 
 // LoadResult is what became of requests.
 type LoadResult struct {
-	Sent, Failed int64
-	Reason       string // of a failure; empty: none failed
-	Duration     time.Duration
+	Sent, Failed  int64
+	FailureReason string // of a failure; empty: none failed
+	Duration      time.Duration
 }
 
 // Drive sends requests for some time and waits for the last answers. An error means that it could not connect.
 func (l *Load) Drive(ctx context.Context, length time.Duration) (LoadResult, error) {
 	start := time.Now()
-	parts := make([]LoadResult, len(l.conns))
+	results := make([]LoadResult, len(l.conns))
 	errs := make([]error, len(l.conns))
 	var wg sync.WaitGroup
 	for i := range l.conns {
-		wg.Go(func() { parts[i], errs[i] = l.driveConnection(ctx, i, start, length) })
+		wg.Go(func() { results[i], errs[i] = l.driveConnection(ctx, i, start, length) })
 	}
 	wg.Wait()
-	all := LoadResult{Duration: time.Since(start)}
-	for _, p := range parts {
-		all.Sent, all.Failed = all.Sent+p.Sent, all.Failed+p.Failed
-		if p.Reason != "" {
-			all.Reason = p.Reason
+	total := LoadResult{Duration: time.Since(start)}
+	for _, p := range results {
+		total.Sent, total.Failed = total.Sent+p.Sent, total.Failed+p.Failed
+		if p.FailureReason != "" {
+			total.FailureReason = p.FailureReason
 		}
 	}
-	return all, errors.Join(append(errs, ctx.Err())...)
+	return total, errors.Join(append(errs, ctx.Err())...)
 }
 
 // driveConnection sends requests over one connection. In the closed loop each follows the answer to the one before. At a
 // rate, connection i of n sends every n-th request when it is due, or after the answer to the one before if that is later.
-func (l *Load) driveConnection(ctx context.Context, i int, start time.Time, length time.Duration) (d LoadResult, err error) {
+func (l *Load) driveConnection(ctx context.Context, i int, start time.Time, length time.Duration) (result LoadResult, err error) {
 	for k := 0; ctx.Err() == nil; k++ {
 		if l.rate > 0 {
 			due := time.Duration(float64(i+k*len(l.conns)) / l.rate * float64(time.Second))
 			if due >= length || !harness.Sleep(ctx, time.Until(start.Add(due))) {
-				return d, nil
+				return result, nil
 			}
 		}
 		if time.Since(start) >= length {
-			return d, nil
+			return result, nil
 		}
 		if l.conns[i] == nil {
 			c, err := net.DialTimeout("tcp4", l.addr, time.Second)
 			if err != nil {
-				return d, err
+				return result, err
 			}
 			l.conns[i] = &conn{Conn: c, in: bufio.NewReader(c)}
 		}
-		d.Sent++
+		result.Sent++
 		if reason := l.sendRequest(i); reason != "" {
-			d.Failed, d.Reason = d.Failed+1, reason
+			result.Failed, result.FailureReason = result.Failed+1, reason
 		}
 	}
-	return d, nil
+	return result, nil
 }
 
 // sendRequest sends a request and reads its answer. It returns the reason of a failure; empty: it succeeded.
 func (l *Load) sendRequest(i int) (reason string) {
 	c := l.conns[i]
-	keep := false
+	keepOpen := false
 	defer func() {
-		if !keep {
+		if !keepOpen {
 			c.Close()
 			l.conns[i] = nil
 		}
@@ -119,7 +119,7 @@
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return err.Error()
 	}
-	keep = !resp.Close
+	keepOpen = !resp.Close
 	if resp.StatusCode != http.StatusOK {
 		return resp.Status
 	}
--- a/internal/lab/experiment/testbed/registry.go
+++ b/internal/lab/experiment/testbed/registry.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	registryBeat     = 100 * time.Millisecond // between two heartbeats of a replica
-	changeTimeout    = 5 * time.Second        // of one call
-	maxChangeRetries = 200
-	changeRetryWait  = 50 * time.Millisecond
+	registryHeartbeatInterval = 100 * time.Millisecond // between two heartbeats of a replica
+	changeCallTimeout         = 5 * time.Second        // of one call
+	maxChangeRetries          = 200
+	changeRetryWait           = 50 * time.Millisecond
 )
 
 // Registry is a registry of several real replicas, and a client that changes what they hold.
@@ -29,9 +29,9 @@
 
 // NewRegistry returns a registry with as many replicas as the scenario's discovery has. Close has to be called after it.
 func NewRegistry(r *harness.Run) *Registry {
-	config := &scenario.Registry{Replicas: r.Scenario.Discovery.RegistryReplicas, HeartbeatInterval: scenario.Duration(registryBeat)}
+	config := &scenario.Registry{Replicas: r.Scenario.Discovery.RegistryReplicas, HeartbeatInterval: scenario.Duration(registryHeartbeatInterval)}
 	return &Registry{Cluster: cluster.New(r, config),
-		client: &http.Client{Transport: &http.Transport{}, Timeout: changeTimeout}}
+		client: &http.Client{Transport: &http.Transport{}, Timeout: changeCallTimeout}}
 }
 
 // Close stops the replicas. It does not close the run.
@@ -51,22 +51,22 @@
 
 // Change posts a change, and retries it at the next replica while none accepts changes. It returns the revision, and when
 // the call that was accepted began.
-func (r *Registry) Change(ctx context.Context, path string, body any) (rev int64, called time.Time, err error) {
+func (r *Registry) Change(ctx context.Context, path string, body any) (rev int64, calledAt time.Time, err error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return 0, time.Time{}, err
 	}
 	for attempt := 0; ; attempt++ {
-		called = time.Now()
+		calledAt = time.Now()
 		status, text, err := r.post(ctx, r.Replicas[attempt%len(r.Replicas)].URL(path), data)
 		if err != nil {
 			return 0, time.Time{}, err
 		}
-		var answer struct {
+		var response struct {
 			Rev int64 `json:"rev"`
 		}
-		if status == http.StatusOK && json.Unmarshal(text, &answer) == nil {
-			return answer.Rev, called, nil
+		if status == http.StatusOK && json.Unmarshal(text, &response) == nil {
+			return response.Rev, calledAt, nil
 		}
 		if status != http.StatusServiceUnavailable || attempt > maxChangeRetries || !harness.Sleep(ctx, changeRetryWait) {
 			return 0, time.Time{}, fmt.Errorf("%s is answered %d %s: %s", path, status, http.StatusText(status),
--- a/internal/lab/experiment/testbed/sidecar.go
+++ b/internal/lab/experiment/testbed/sidecar.go
@@ -21,9 +21,9 @@
 // Sidecar is a sidecar process that is ready.
 type Sidecar struct {
 	*process.Child
-	Listen     string // address for clients
-	Management string // address
-	StartTime  time.Duration
+	Listen        string // address for clients
+	Management    string // address
+	StartDuration time.Duration
 }
 
 // Start starts a sidecar and waits until it is ready.
@@ -40,7 +40,7 @@
 		child.Kill()
 		return nil, err
 	}
-	return &Sidecar{Child: child, StartTime: time.Since(start), Listen: logValue(line, "listen"),
+	return &Sidecar{Child: child, StartDuration: time.Since(start), Listen: logValue(line, "listen"),
 		Management: logValue(line, "management")}, nil
 }
 
@@ -82,7 +82,7 @@
 	MaxDescriptors int             // of a sidecar
 	Config         json.RawMessage // common to all sidecars
 
-	started int
+	launchCount int
 }
 
 // Launch starts a sidecar with the common configuration and patches that are merged into it in turn, and waits until it
@@ -95,8 +95,8 @@
 			return nil, err
 		}
 	}
-	l.started++
-	dir := filepath.Join(l.Dir, fmt.Sprintf("%s-%d", name, l.started))
+	l.launchCount++
+	dir := filepath.Join(l.Dir, fmt.Sprintf("%s-%d", name, l.launchCount))
 	temp := filepath.Join(dir, "tmp")
 	if err := os.MkdirAll(temp, 0o755); err != nil {
 		return nil, err
--- a/internal/lab/harness/address.go
+++ b/internal/lab/harness/address.go
@@ -22,12 +22,12 @@
 // ReserveAddr finds an unused port of a host and keeps it until Close, so that no other run takes it before the process
 // listens there, or while the process is down. It is not for concurrent use.
 func (r *Run) ReserveAddr(host string) (string, error) {
-	reserved, err := relay.Reserve(host)
+	reservation, err := relay.Reserve(host)
 	if err != nil {
 		return "", err
 	}
-	r.reserved = append(r.reserved, reserved)
-	return reserved.Addr(), nil
+	r.reservations = append(r.reservations, reservation)
+	return reservation.Addr(), nil
 }
 
 // The ports of members lie below those at which relays listen on all addresses, as one of those could take a port before
@@ -40,25 +40,25 @@
 
 // FreeMemberAddr finds a port on a loopback address that is free for connections and packets.
 func FreeMemberAddr(host string) (string, error) {
-	var last error
+	var lastErr error
 	for range memberPortAttempts {
 		addr := net.JoinHostPort(host, strconv.Itoa(minMemberPort+rand.IntN(memberPortRange)))
 		l, err := net.Listen("tcp4", addr)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		c, err := net.ListenPacket("udp4", addr)
 		if l.Close(); err == nil {
 			return addr, c.Close()
 		}
-		last = err
+		lastErr = err
 	}
-	return "", fmt.Errorf("lab: no address: %w", last)
+	return "", fmt.Errorf("lab: no address: %w", lastErr)
 }
 
-// HostOf is the host of an address that has a port.
-func HostOf(addr string) string {
+// Host is the host of an address that has a port.
+func Host(addr string) string {
 	host, _, _ := net.SplitHostPort(addr)
 	return host
 }
--- a/internal/lab/harness/execute.go
+++ b/internal/lab/harness/execute.go
@@ -54,11 +54,11 @@
 // drive drives the run and measures how late the timers of this process are meanwhile. All tasks have ended when it
 // returns.
 func (r *Run) drive(ctx context.Context, phases Phases) (timers TimerLag, err error) {
-	driving, stop := context.WithCancel(ctx)
+	driveCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	r.Tasks.Go(func() { timers = measureTimerLag(driving) })
-	r.Tasks.Go(func() { r.printProgress(driving, phases) })
-	driveErr := phases.Drive(driving)
+	r.Tasks.Go(func() { timers = measureTimerLag(driveCtx) })
+	r.Tasks.Go(func() { r.printProgress(driveCtx, phases) })
+	driveErr := phases.Drive(driveCtx)
 	stop()
 	r.Tasks.Wait()
 	if err := context.Cause(ctx); err != nil {
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -31,13 +31,13 @@
 
 // Options are what a run needs beside its scenario.
 type Options struct {
-	Program  string // the sidecar's file, where the scenario names none
-	Older    string // the program of the sidecars that the scenario calls older; empty: Program, without routes
-	Self     string // the command's file, for replicas of the registry; empty: this program
-	Seed     uint64 // 0: the scenario's
-	Dir      string // for the files of the processes; empty: a temporary one that is removed with the run
-	Progress io.Writer
-	Log      *slog.Logger // nil: none
+	Program         string // the sidecar's file, where the scenario names none
+	OlderProgram    string // the program of the sidecars that the scenario calls older; empty: Program, without routes
+	RegistryProgram string // the command's file, for replicas of the registry; empty: this program
+	Seed            uint64 // 0: the scenario's
+	Dir             string // for the files of the processes; empty: a temporary one that is removed with the run
+	Progress        io.Writer
+	Log             *slog.Logger // nil: none
 
 	// FreeAddr finds the listen address of a sidecar; nil: FreeSidecarAddr.
 	FreeAddr func(sidecar int) (string, error)
@@ -55,7 +55,7 @@
 	Tasks     sync.WaitGroup // goroutines that end with the run's context
 	StartedAt time.Duration  // when all parties were up, on the clock of Events; the times of the plan are from then on
 
-	reserved      []*relay.Reservation
+	reservations  []*relay.Reservation
 	removeDir     bool
 	stopProcesses sync.Once
 	failureMu     sync.Mutex
@@ -72,8 +72,8 @@
 		r.Log = slog.New(slog.DiscardHandler)
 	}
 	var err error
-	if r.Options.Self == "" {
-		if r.Options.Self, err = os.Executable(); err != nil {
+	if r.Options.RegistryProgram == "" {
+		if r.Options.RegistryProgram, err = os.Executable(); err != nil {
 			return nil, fmt.Errorf("lab: replicas of the registry are of this program: %w", err)
 		}
 	}
@@ -91,12 +91,12 @@
 // Close ends the processes of the run, gives up its addresses and removes its temporary folder.
 func (r *Run) Close() {
 	r.StopProcesses()
-	for _, reserved := range r.reserved {
-		if err := reserved.Release(); err != nil {
-			r.Log.Warn("lab: address not released", "addr", reserved.Addr(), "err", err)
+	for _, reservation := range r.reservations {
+		if err := reservation.Release(); err != nil {
+			r.Log.Warn("lab: address not released", "addr", reservation.Addr(), "err", err)
 		}
 	}
-	r.reserved = nil
+	r.reservations = nil
 	if r.removeDir {
 		os.RemoveAll(r.Dir)
 	}
@@ -122,8 +122,8 @@
 	return r.failure
 }
 
-// Note records an event that is described in words.
-func (r *Run) Note(k record.Kind, sidecar, server int, note string) {
+// RecordNote records an event that is described in words.
+func (r *Run) RecordNote(k record.Kind, sidecar, server int, note string) {
 	r.Events.Add(record.Event{Kind: k, Sidecar: int32(sidecar), Server: int32(server), Class: record.None, Note: note})
 }
 
--- a/internal/lab/harness/timer_lag.go
+++ b/internal/lab/harness/timer_lag.go
@@ -37,9 +37,9 @@
 		select {
 		case <-t.C:
 			now := time.Now()
-			late := max(now.Sub(due), 0)
-			lag = append(lag, late)
-			if late >= minStall {
+			delay := max(now.Sub(due), 0)
+			lag = append(lag, delay)
+			if delay >= minStall {
 				stalls = append(stalls, Stall{due, now})
 			}
 		case <-ctx.Done():
@@ -48,13 +48,13 @@
 	}
 }
 
-// Spans are stalls on the clock of the plan.
-func (r *Run) Spans(stalls []Stall) []invariant.Span {
+// StallSpans are stalls on the clock of the plan.
+func (r *Run) StallSpans(stalls []Stall) []invariant.Span {
 	now, elapsed := time.Now(), r.Elapsed()
 	sinceStart := func(t time.Time) time.Duration { return elapsed - now.Sub(t) }
-	var out []invariant.Span
+	var spans []invariant.Span
 	for _, s := range stalls {
-		out = append(out, invariant.Span{From: sinceStart(s.from), To: sinceStart(s.to)})
+		spans = append(spans, invariant.Span{From: sinceStart(s.from), To: sinceStart(s.to)})
 	}
-	return out
+	return spans
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -54,7 +54,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 		defer cancel()
 		var err error
-		if rep, err = Run(ctx, s, harness.Options{Program: programs.Sidecar, Self: programs.Marblelane, Dir: t.TempDir()}); err != nil {
+		if rep, err = Run(ctx, s, harness.Options{Program: programs.Sidecar, RegistryProgram: programs.Marblelane, Dir: t.TempDir()}); err != nil {
 			t.Fatal(err)
 		}
 		if end, _ := rep.Outcome(); end != report.Late {
--- a/internal/lab/parties.go
+++ b/internal/lab/parties.go
@@ -114,7 +114,7 @@
 		return err
 	}
 	s.OnOverload = func() {
-		r.Note(record.ServerState, record.None, i, "is down for good")
+		r.RecordNote(record.ServerState, record.None, i, "is down for good")
 		s.Kill()
 	}
 	r.servers = append(r.servers, s)
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -36,28 +36,28 @@
 
 // NewSupervisor starts the thread that is the parent of all children.
 func NewSupervisor() *Supervisor {
-	n := &Supervisor{startCalls: make(chan func()), done: make(chan struct{}), running: map[*Child]struct{}{}}
+	s := &Supervisor{startCalls: make(chan func()), done: make(chan struct{}), running: map[*Child]struct{}{}}
 	go func() {
-		defer close(n.done)
+		defer close(s.done)
 		runtime.LockOSThread() // never unlocked: the thread ends with this goroutine, and children with the thread
-		for f := range n.startCalls {
+		for f := range s.startCalls {
 			f()
 		}
 	}()
-	return n
+	return s
 }
 
 // Close kills the running children and ends the thread. It kills each child, as the end of the thread may not: the main
 // thread of a process stays until the process exits.
-func (n *Supervisor) Close() {
-	close(n.startCalls)
-	<-n.done
-	n.mu.Lock()
-	for c := range n.running {
+func (s *Supervisor) Close() {
+	close(s.startCalls)
+	<-s.done
+	s.mu.Lock()
+	for c := range s.running {
 		_ = c.Signal(syscall.SIGKILL) // it has ended, or it will
 	}
-	n.mu.Unlock()
-	n.wg.Wait()
+	s.mu.Unlock()
+	s.wg.Wait()
 }
 
 // Spec is a program to run.
@@ -87,7 +87,7 @@
 }
 
 // Start starts a program and applies its descriptor limit.
-func (n *Supervisor) Start(spec Spec) (*Child, error) {
+func (s *Supervisor) Start(spec Spec) (*Child, error) {
 	if err := os.MkdirAll(spec.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
@@ -102,20 +102,20 @@
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	c.cmd.WaitDelay = time.Second
 	started := make(chan error, 1)
-	n.startCalls <- func() { started <- c.cmd.Start() }
+	s.startCalls <- func() { started <- c.cmd.Start() }
 	if err := <-started; err != nil {
 		file.Close()
 		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
 	c.PID = c.cmd.Process.Pid
-	n.mu.Lock()
-	n.running[c] = struct{}{}
-	n.mu.Unlock()
-	n.wg.Go(func() {
+	s.mu.Lock()
+	s.running[c] = struct{}{}
+	s.mu.Unlock()
+	s.wg.Go(func() {
 		c.err = c.cmd.Wait()
-		n.mu.Lock()
-		delete(n.running, c)
-		n.mu.Unlock()
+		s.mu.Lock()
+		delete(s.running, c)
+		s.mu.Unlock()
 		file.Close()
 		close(c.ended)
 	})
@@ -200,7 +200,7 @@
 }
 
 // LogTail is the last lines of the child's log.
-func (c *Child) LogTail() string { return c.log.tail() }
+func (c *Child) LogTail() string { return c.log.text() }
 
 // AwaitLog waits for a log line that contains the text, and returns it. If the child ends first, the error has the last
 // lines of its log.
@@ -345,7 +345,7 @@
 	delete(w.waiters, waiter)
 }
 
-func (w *logTail) tail() string {
+func (w *logTail) text() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return strings.Join(w.lastLines, "\n")
--- a/internal/lab/routes_section.go
+++ b/internal/lab/routes_section.go
@@ -4,8 +4,8 @@
 
 // programOf is the program that a sidecar runs.
 func (r *run) programOf(sidecar int) string {
-	if r.Scenario.RunsOlderProgram(sidecar) && r.Options.Older != "" {
-		return r.Options.Older
+	if r.Scenario.RunsOlderProgram(sidecar) && r.Options.OlderProgram != "" {
+		return r.Options.OlderProgram
 	}
 	return r.program
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -114,7 +114,7 @@
 	if o := r.rollouts.Load(); o != nil {
 		routes = o.Facts()
 	}
-	rep := report.New(r.Plan, events, r.worked, routes, r.Spans(timers.Stalls))
+	rep := report.New(r.Plan, events, r.worked, routes, r.StallSpans(timers.Stalls))
 	if r.members != nil { // before the expectations ask which rules were held to some case
 		facts := r.members.Facts()
 		invariant.CheckMembers(events, facts, rep.Verdict)
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -58,14 +58,14 @@
 }
 
 func (r *run) killServer(i int) error {
-	r.Note(record.ServerState, record.None, i, "dies")
+	r.RecordNote(record.ServerState, record.None, i, "dies")
 	r.servers[i].Kill()
 	r.publish(i, agent.Gone, r.Scenario.Discovery.CrashDelay)
 	return nil
 }
 
 func (r *run) startServer(i int) error {
-	r.Note(record.ServerState, record.None, i, invariant.ServerStarted)
+	r.RecordNote(record.ServerState, record.None, i, invariant.ServerStarted)
 	if err := r.servers[i].Restart(); err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 // and their grace is over, end, and start again. Those that stay do not end, and serve all requests.
 func (r *run) drainServers(ctx context.Context, servers []int, stay bool) error {
 	for _, i := range servers {
-		r.Note(record.ServerState, record.None, i, "drains")
+		r.RecordNote(record.ServerState, record.None, i, "drains")
 		r.publish(i, agent.Terminating, r.Scenario.Discovery.DrainDelay)
 	}
 	if stay {
@@ -112,7 +112,7 @@
 		return err
 	}
 	for _, i := range p.Servers {
-		r.Note(record.ServerState, record.None, i, "is replaced")
+		r.RecordNote(record.ServerState, record.None, i, "is replaced")
 		r.publish(i, agent.Terminating, r.Scenario.Discovery.DrainDelay)
 	}
 	if !harness.Sleep(ctx, r.Scenario.Discovery.DrainDelay.Duration()+r.Scenario.Discovery.Spread.Duration()+r.Scenario.Rules.DrainGrace.Duration()+serverDowntime) {
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -30,7 +30,7 @@
 	return nil
 }
 
-func (s *sidecar) note(text string) { s.run.Note(record.Process, s.number, record.None, text) }
+func (s *sidecar) note(text string) { s.run.RecordNote(record.Process, s.number, record.None, text) }
 
 func (s *sidecar) freeze(on bool) error {
 	if !on {
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -148,7 +148,7 @@
 	c, err := r.Processes.Start(process.Spec{
 		Name: p.Name, Path: r.programOf(s.number), Dir: s.dir, MaxDescriptors: r.Scenario.Sidecars.MaxSockets,
 		Env: []string{"NODE_CONFIG=" + s.config, "NODE_NAME=" + p.Name, "NODE_LISTEN=" + s.listen,
-			"NODE_DISCOVERY=" + r.discoveryAddrs(s.number)[0], "NODE_MANAGEMENT=" + harness.HostOf(s.listen) + ":0", "TMPDIR=" + tmp},
+			"NODE_DISCOVERY=" + r.discoveryAddrs(s.number)[0], "NODE_MANAGEMENT=" + harness.Host(s.listen) + ":0", "TMPDIR=" + tmp},
 	})
 	if err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.number, err)
@@ -168,7 +168,7 @@
 		}
 		return fmt.Errorf("sidecar %d at %s: %w", s.number, s.listen, err)
 	}
-	r.Note(record.Process, s.number, record.None, invariant.Serving)
+	r.RecordNote(record.Process, s.number, record.None, invariant.Serving)
 	if endpoint != nil {
 		if err := r.members.FollowProcess(endpoint, c, ready); err != nil {
 			return fmt.Errorf("sidecar %d: %w", s.number, err)
@@ -185,7 +185,7 @@
 	if !c.StopRequested() || c.Err() != nil && !strings.Contains(c.Err().Error(), "signal: killed") {
 		note = invariant.Crashed
 	}
-	s.run.Note(record.Process, s.number, record.None, note)
+	s.run.RecordNote(record.Process, s.number, record.None, note)
 	if note == invariant.Crashed {
 		s.run.Log.Error("lab: a sidecar ended without a signal", "sidecar", s.number, "err", c.Err(), "log", c.LogTail())
 	}
@@ -196,7 +196,7 @@
 	r, p := s.run, &s.run.Plan.Sidecars[s.number]
 	config := map[string]any{
 		"name": p.Name, "listen": s.listen, "discovery": r.discoveryAddrs(s.number)[0],
-		"management": harness.HostOf(s.listen) + ":0", "seed": strconv.FormatUint(p.Seed+uint64(s.starts), 16),
+		"management": harness.Host(s.listen) + ":0", "seed": strconv.FormatUint(p.Seed+uint64(s.starts), 16),
 		"limits":   map[string]any{"cores": r.Scenario.Sidecars.Cores, "memory_mb": r.Scenario.Sidecars.MemoryMB, "sockets": r.Scenario.Sidecars.MaxSockets},
 		"known":    r.initialList(s.number),
 		"settings": r.Plan.Settings(s.number),
@@ -261,7 +261,7 @@
 
 // stop ends a process in order; SIGKILL comes when it has not ended after wait.
 func (s *sidecar) stop(c *process.Child, wait time.Duration) {
-	s.run.Note(record.Process, s.number, record.None, invariant.Stopping)
+	s.run.RecordNote(record.Process, s.number, record.None, invariant.Stopping)
 	if s.run.members != nil {
 		s.run.members.RecordLeaving(c)
 	}
@@ -275,7 +275,7 @@
 	select {
 	case <-c.Ended():
 	case <-kill.C:
-		s.run.Note(record.Process, s.number, record.None, invariant.Killed)
+		s.run.RecordNote(record.Process, s.number, record.None, invariant.Killed)
 		c.Kill()
 	}
 	s.addPastCPU(c)
