--- a/internal/lab/agent/agent.go
+++ b/internal/lab/agent/agent.go
@@ -1,5 +1,6 @@
-// Package agent simulates the platform's discovery agents. Each sidecar has its own agent, which answers list calls
-// with its current state, serves watches, and can be given faults.
+// Package agent simulates the platform's discovery agents, the processes from which sidecars get the endpoint list.
+// Each sidecar has its own agent, which keeps the entries of the stand-in servers, serves the list and watches of it,
+// and can inject faults. In this package, "agent" always means such a discovery agent.
 package agent
 
 import (
@@ -15,20 +16,20 @@
 	"marblelane/internal/lab/relay"
 )
 
-// heartbeatInterval is how often a watch sends an empty line while nothing changes.
+// heartbeatInterval is the time between two heartbeats, empty lines that a watch sends while the list does not change.
 const heartbeatInterval = 2 * time.Second
 
-// oldPortGrace is how long the connections to the old port stay open after MigratePort.
+// oldPortGrace is the time for which connections to the old port stay open after MigratePort.
 const oldPortGrace = 1500 * time.Millisecond
 
-// The states of an entry.
+// The states of an entry. A list names a server that has ended as Gone.
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
 	Gone        = "Gone"
 )
 
-// Entry is one server of the endpoint list.
+// Entry describes one server in the endpoint list.
 type Entry struct {
 	Number   int     `json:"-"`
 	UID      string  `json:"uid"`
@@ -41,64 +42,64 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-// List is an answer of discovery: all servers, or the changes since a revision.
+// List is a list response or a list event of a watch: all servers, or the changes since a revision.
 type List struct {
 	Rev     int64   `json:"rev"`
-	All     bool    `json:"all"`
+	All     bool    `json:"all"` // the list is complete; false: it has only the changes
 	Targets []Entry `json:"targets"`
 
-	omitsDraining bool // a complete list without the draining servers
+	omitsDraining bool // the list is complete except for the draining servers
 }
 
-// Agents are the agents of all sidecars.
+// Agents are the discovery agents of all sidecars.
 type Agents struct {
 	log      *record.Log
-	endpoint func(sidecar, server int) string
-	agents   []*agentState
+	endpoint func(sidecar, server int) string // returns the address at which a sidecar reaches a server
+	agents   []*agentState                    // by sidecar
 
 	mu             sync.Mutex
-	rev            int64
-	ports          []*relay.Port
+	rev            int64         // revision of the last published change
+	ports          []*relay.Port // the last one is the current port
 	links          func(sidecar int) *relay.Link
 	timers         []*time.Timer
 	closed         bool
-	lostWatchDelay time.Duration // toldAnyway
+	lostWatchDelay time.Duration // lostWatchTimeout; tests shorten it
 	wg             sync.WaitGroup
 }
 
-// agentState is the state of one sidecar's agent.
+// agentState is the state of one sidecar's discovery agent.
 type agentState struct {
 	sidecar         int
 	mu              sync.Mutex
 	rev             int64
-	entries         map[int]Entry // by number
-	entryRevs       map[int]int64 // the revision of each one's last change
-	silent          bool
-	reject          bool
-	delay           time.Duration // added to the delay of each change
+	entries         map[int]Entry // by server number
+	entryRevs       map[int]int64 // revision of each entry's last change, by server number
+	silent          bool          // sends nothing
+	reject          bool          // responds with 503
+	delay           time.Duration // added to the delay of each change that is published
 	defect          string
 	defectDelay     time.Duration
 	fault           string
-	fraction        float64   // of the servers in a partial list
-	revOffset       int64     // added to revisions; grows with each history that a fault starts or ends
-	watchBreakCount int       // number of faults that broke watches; a watch started before the last one ends
-	silenceCount    int       // number of SilenceWatches calls; a watch started before the last one sends nothing more
-	silencedAt      time.Time // time of the last SilenceWatches
+	fraction        float64   // share of the servers that a partial list contains, 0 to 1
+	revOffset       int64     // added to revisions; increases when a fault starts or ends a history
+	watchBreakCount int       // number of faults that broke watches; a watch older than the last fault ends
+	silenceCount    int       // number of SilenceWatches calls; a watch older than the last call sends nothing more
+	silencedAt      time.Time // time of the last SilenceWatches call; zero: never called
 	disconnected    bool      // MarkDisconnected was called
 	watchForm       WatchForm
-	changedSignal   chan struct{} // closed at each change
+	changedSignal   chan struct{} // closed and replaced at each change of the state
 }
 
-// The faults of an agent besides silence.
+// The faults of an agent besides silence and rejection.
 const (
-	FaultEmptyList     = "empty"  // the list is empty, as after a restart without state
-	FaultPartialList   = "half"   // the list has only a fraction of the servers
+	FaultEmptyList     = "empty"  // the list is empty, as after a restart that lost the state
+	FaultPartialList   = "half"   // the list contains only a fraction of the servers
 	FaultStaleWatch    = "stuck"  // watches stay open but deliver no changes
-	FaultTruncatedLine = "frozen" // the watch stops in the middle of a line
+	FaultTruncatedLine = "frozen" // a watch stops in the middle of a line
 	FaultOversizedLine = "big"    // each watch starts with an oversized line
 )
 
-// defectNotifyLate is the planted defect that delivers changes late, after they are recorded as notified.
+// defectNotifyLate is the planted defect that records changes as notified but delivers them late.
 const defectNotifyLate = "told-late"
 
 // revsPerHistory is the distance between the revisions of two histories, as in the product's list service.
@@ -107,12 +108,13 @@
 // oversizedLineBytes is the length of the line of FaultOversizedLine.
 const oversizedLineBytes = 20 << 20
 
-// New starts the agents of all sidecars with the same list.
+// New starts the agents of all sidecars with the same list. The caller must call Close.
 func New(log *record.Log, sidecars int, list []Entry, endpoint func(sidecar, server int) string,
 	links func(sidecar int) *relay.Link) (*Agents, error) {
 	a := &Agents{log: log, endpoint: endpoint, links: links, rev: 1, lostWatchDelay: lostWatchTimeout}
 	for i := range sidecars {
-		state := &agentState{sidecar: i, rev: 1, entries: map[int]Entry{}, entryRevs: map[int]int64{}, changedSignal: make(chan struct{})}
+		state := &agentState{sidecar: i, rev: 1, entries: map[int]Entry{}, entryRevs: map[int]int64{},
+			changedSignal: make(chan struct{})}
 		for _, e := range list {
 			state.entries[e.Number], state.entryRevs[e.Number] = e, 1
 		}
@@ -124,10 +126,11 @@
 	return a, nil
 }
 
+// openPort opens a port, which becomes the current port of all agents.
 func (a *Agents) openPort() error {
 	p, err := relay.Listen(a.links, a.serveConnection)
 	if err != nil {
-		return fmt.Errorf("discovery: %w", err)
+		return fmt.Errorf("discovery: open port: %w", err)
 	}
 	a.mu.Lock()
 	a.ports = append(a.ports, p)
@@ -135,17 +138,17 @@
 	return nil
 }
 
-// Addr is the current address of a sidecar's agent.
+// Addr returns the current address of a sidecar's agent.
 func (a *Agents) Addr(sidecar int) string { return a.Port().Addr(sidecar) }
 
-// Port is the current port of all agents.
+// Port returns the current port, which all agents share.
 func (a *Agents) Port() *relay.Port {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ports[len(a.ports)-1]
 }
 
-// MigratePort opens a new port; the old one accepts nothing more and closes after oldPortGrace.
+// MigratePort opens a new port. The old port accepts no more connections and closes after oldPortGrace.
 func (a *Agents) MigratePort() error {
 	old := a.Port()
 	if err := a.openPort(); err != nil {
@@ -156,7 +159,7 @@
 	return nil
 }
 
-// runAfter calls f after a wait, unless the agents are closed first.
+// runAfter calls f after a wait, unless the agents are closed before that.
 func (a *Agents) runAfter(wait time.Duration, f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -170,7 +173,7 @@
 	}))
 }
 
-// Close ends all agents.
+// Close cancels the pending changes and closes all ports.
 func (a *Agents) Close() {
 	a.mu.Lock()
 	a.closed = true
@@ -187,12 +190,13 @@
 	}
 }
 
-// Publish sends a change to all agents: to the first after notice, to the last a spread later.
+// Publish applies a change at all agents: at the first one after notice, at the last one after notice plus spread, and
+// at the others at even intervals between.
 func (a *Agents) Publish(e Entry, notice, spread time.Duration) {
 	a.PublishAll([]Entry{e}, notice, spread)
 }
 
-// PublishAll is Publish for several changes at once, in their order.
+// PublishAll is like Publish, for several changes that are applied together and in order.
 func (a *Agents) PublishAll(entries []Entry, notice, spread time.Duration) {
 	a.mu.Lock()
 	first := a.rev + 1
@@ -215,11 +219,12 @@
 	}
 }
 
-// lostWatchTimeout is the time after which the platform requires a sidecar to know the changes that a silent watch did
-// not deliver.
+// lostWatchTimeout is the time within which the platform requires a sidecar to detect a silent watch and to get the
+// changes that the watch did not deliver.
 const lostWatchTimeout = 6 * time.Second
 
-// SilenceWatches makes the open watches of a sidecar permanently silent; its other calls are answered.
+// SilenceWatches makes the open watches of a sidecar permanently silent. New watches and list requests still get
+// responses.
 func (a *Agents) SilenceWatches(sidecar int) {
 	state := a.agents[sidecar]
 	state.mu.Lock()
@@ -228,7 +233,7 @@
 	state.wakeWatches()
 }
 
-// MarkDisconnected notes that a sidecar's connections to its agent were reset: later changes are recorded as notified
+// MarkDisconnected marks a sidecar's connections to its agent as reset. From then on changes are recorded as notified
 // after lostWatchTimeout, even if the sidecar does not reconnect.
 func (a *Agents) MarkDisconnected(sidecar int) {
 	state := a.agents[sidecar]
@@ -237,7 +242,8 @@
 	state.disconnected = true
 }
 
-// recordMissedChange records a change as notified after lostWatchTimeout, if the sidecar's watches are silent or reset.
+// recordMissedChange records a change as notified after lostWatchTimeout if the sidecar's watches were silenced or
+// reset, as the sidecar has to get the change in another way by then.
 func (a *Agents) recordMissedChange(state *agentState, e Entry, rev int64) {
 	state.mu.Lock()
 	silenced, disconnected := !state.silencedAt.IsZero(), state.disconnected
@@ -245,7 +251,7 @@
 	state.mu.Unlock()
 	switch {
 	case silenced:
-	case disconnected: // discovery is reachable and has the change from now on
+	case disconnected: // the sidecar can get the change from now on by reconnecting
 		wait = a.lostWatchDelay
 	default:
 		return
@@ -261,57 +267,61 @@
 	})
 }
 
+// setEntry applies a change of an entry and wakes the watches.
 func (state *agentState) setEntry(e Entry, rev int64) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	if state.entryRevs[e.Number] > rev {
-		return // a later change arrived first
+		return // a later change of the entry was applied before
 	}
 	state.entries[e.Number], state.entryRevs[e.Number] = e, rev
 	state.rev = max(state.rev, rev)
 	state.wakeWatches()
 }
 
+// wakeWatches wakes everything that waits for a change of the state. The caller holds state.mu.
 func (state *agentState) wakeWatches() {
 	close(state.changedSignal)
 	state.changedSignal = make(chan struct{})
 }
 
-// SetBehaviour changes the faults of one sidecar's agent.
+// SetBehaviour changes the faults and the watch form of one sidecar's agent.
 func (a *Agents) SetBehaviour(sidecar int, change func(*Behaviour)) {
 	state := a.agents[sidecar]
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	b := Behaviour{state.silent, state.reject, state.delay, state.defect, state.defectDelay, state.fault, state.fraction, state.watchForm}
+	b := Behaviour{state.silent, state.reject, state.delay, state.defect, state.defectDelay, state.fault,
+		state.fraction, state.watchForm}
 	change(&b)
 	if previous, is := state.fault, b.Fault; previous != is {
 		for _, fault := range []string{previous, is} {
 			switch fault {
-			case FaultEmptyList, FaultPartialList: // a new history starts
+			case FaultEmptyList, FaultPartialList: // its start and its end begin a new history
 				state.revOffset += revsPerHistory
 			case FaultTruncatedLine, FaultOversizedLine:
 				state.watchBreakCount++
 			}
 		}
 	}
-	state.silent, state.reject, state.delay, state.defect, state.defectDelay, state.fault, state.fraction = b.Silent, b.Reject, b.Delay, b.Defect, b.DefectDelay, b.Fault, b.Fraction
+	state.silent, state.reject, state.delay, state.defect, state.defectDelay, state.fault, state.fraction =
+		b.Silent, b.Reject, b.Delay, b.Defect, b.DefectDelay, b.Fault, b.Fraction
 	state.watchForm = b.Form
 	state.wakeWatches()
 }
 
 // Behaviour is the set of faults and the watch form of an agent.
 type Behaviour struct {
-	Silent      bool          // sends nothing at all
-	Reject      bool          // answers 503
-	Delay       time.Duration // of changes published while it is set
-	Defect      string        // planted: defectNotifyLate or "ignore-drain"
-	DefectDelay time.Duration // of defectNotifyLate
+	Silent      bool          // sends no responses, list events or heartbeats
+	Reject      bool          // responds with 503 to all requests
+	Delay       time.Duration // added to the delay of changes published while it is set
+	Defect      string        // planted defect: defectNotifyLate or "ignore-drain"; empty: none
+	DefectDelay time.Duration // delay of defectNotifyLate
 	Fault       string        // FaultEmptyList etc.; empty: none
-	Fraction    float64       // of FaultPartialList, 0 to 1
+	Fraction    float64       // share of the servers that FaultPartialList lists, 0 to 1
 	Form        WatchForm
 }
 
-// ListFor returns the current list of a sidecar's agent, for the configuration of a starting sidecar.
+// ListFor returns the current complete list of a sidecar's agent, for the configuration of a starting sidecar.
 func (a *Agents) ListFor(sidecar int) List {
 	state := a.agents[sidecar]
 	state.mu.Lock()
@@ -319,9 +329,11 @@
 	return a.changesSince(state, -1)
 }
 
-// changesSince returns the changes after a revision, or the complete list. v.mu is held.
+// changesSince returns the changes after a revision, or the complete list if the revision is negative or not of the
+// current history. The caller holds state.mu.
 func (a *Agents) changesSince(state *agentState, after int64) List {
-	l := List{Rev: state.rev + state.revOffset, All: after < state.revOffset || after > state.rev+state.revOffset || after < 0, Targets: []Entry{}}
+	l := List{Rev: state.rev + state.revOffset,
+		All: after < state.revOffset || after > state.rev+state.revOffset || after < 0, Targets: []Entry{}}
 	fractionSum := 0.0
 	for _, n := range slices.Sorted(maps.Keys(state.entries)) {
 		e := state.entries[n]
@@ -338,4 +350,5 @@
 	return l
 }
 
-var errCallerDisconnected = errors.New("agent: the caller is gone")
+// errCallerDisconnected ends the processing of a connection.
+var errCallerDisconnected = errors.New("discovery agent: connection ended")
--- a/internal/lab/agent/agent_test.go
+++ b/internal/lab/agent/agent_test.go
@@ -15,7 +15,7 @@
 	"marblelane/internal/lab/relay"
 )
 
-// watch opens a watch and skips its first line; the result returns each further line that is not a heartbeat.
+// watch opens a watch and reads its first line. The returned function returns the next line that is not a heartbeat.
 func watch(t *testing.T, a *Agents) func(wait time.Duration) (string, error) {
 	t.Helper()
 	c, err := net.Dial("tcp4", a.Addr(0))
@@ -35,12 +35,13 @@
 		}
 	}
 	if line, err := next(10 * time.Second); err != nil {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("first line of the watch: %q, %v", line, err)
 	}
 	return next
 }
 
-// A silenced watch delivers nothing more, a new one delivers everything, and a missed change is recorded as notified.
+// A silenced watch delivers nothing more, and a change that it misses is recorded as notified after the timeout. A new
+// watch delivers all changes.
 func TestSilenceWatches_missedChangeRecorded(t *testing.T) {
 	log := record.New()
 	a, err := New(log, 1, []Entry{{Number: 4, State: Ready}}, func(int, int) string { return "127.0.0.1:1" },
@@ -57,16 +58,16 @@
 	a.SilenceWatches(0)
 	a.Publish(Entry{Number: 4, State: Terminating}, 0, 0)
 	if line, err := old(300 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a silent watch said %q, %v", line, err)
+		t.Errorf("read silenced watch: got %q, %v, want no line", line, err)
 	}
 	for end := time.Now().Add(10 * time.Second); !notified(Terminating); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("what a silent watch missed never counts as told")
+			t.Fatal("change that the silenced watch missed was not recorded as notified")
 		}
 	}
 	next := watch(t, a)
 	a.Publish(Entry{Number: 4, State: Gone}, 0, 0)
 	if line, err := next(10 * time.Second); err != nil || !strings.Contains(line, Gone) {
-		t.Errorf("a new watch said %q, %v", line, err)
+		t.Errorf("read new watch: got %q, %v, want the change to Gone", line, err)
 	}
 }
--- a/internal/lab/agent/serve.go
+++ b/internal/lab/agent/serve.go
@@ -1,6 +1,6 @@
 package agent
 
-// This file answers the calls of sidecars.
+// This file serves the list protocol to sidecars.
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"marblelane/internal/lab/relay"
 )
 
-// serveConnection answers the calls on one connection.
+// serveConnection handles the requests on one connection until it ends.
 func (a *Agents) serveConnection(c *relay.Conn) {
 	if c.Caller >= len(a.agents) {
 		return
@@ -35,9 +35,10 @@
 	}
 }
 
+// handleRequest responds to one request. An error means that the connection cannot be used any longer.
 func (a *Agents) handleRequest(state *agentState, c *relay.Conn, in *bufio.Reader, req *http.Request) error {
 	ended := make(chan struct{})
-	go func() { // waits for the next byte or the end of the stream
+	go func() { // waits for the next request's first byte or the end of the connection
 		_, _ = in.Peek(1)
 		close(ended)
 	}()
@@ -79,7 +80,7 @@
 	return a.watch(state, c, after, ended)
 }
 
-// waitNotSilent blocks while the agent is silent; false: the connection ended.
+// waitNotSilent blocks while the agent is silent. It returns false if the connection ended meanwhile.
 func (state *agentState) waitNotSilent(ended <-chan struct{}) bool {
 	for {
 		state.mu.Lock()
@@ -96,7 +97,8 @@
 	}
 }
 
-// watch writes a line at each change until the connection ends.
+// watch serves a watch: it writes a line with the changes after a revision, then one at each change, and heartbeats
+// between them, until the watch or the connection ends.
 func (a *Agents) watch(state *agentState, c *relay.Conn, after int64, ended <-chan struct{}) error {
 	if err := write(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return err
@@ -115,7 +117,7 @@
 		list := s.list
 		switch {
 		case s.silenceCount != silenceCount:
-			<-ended // the caller's close, or this port's
+			<-ended // the sidecar or the port closes the connection
 			return errCallerDisconnected
 		case s.fault == FaultTruncatedLine || s.fault == FaultOversizedLine:
 			return writeBrokenLine(c, s.fault, s.changed, ended)
@@ -151,7 +153,7 @@
 	}
 }
 
-// snapshot is what a watch needs of an agent's state for one line.
+// snapshot is the part of an agent's state that a watch needs for one line.
 type snapshot struct {
 	changed                       <-chan struct{} // closed at the next change of the state
 	list                          List
@@ -161,11 +163,12 @@
 	watchBreakCount, silenceCount int
 }
 
-// watchSnapshot reads the state of an agent and the list to write next on a watch.
+// watchSnapshot returns the state of an agent and the list that a watch has to write next.
 func (a *Agents) watchSnapshot(state *agentState, after int64, first bool) snapshot {
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	s := snapshot{changed: state.changedSignal, list: a.changesSince(state, after), endOnChange: state.watchForm.EndOnChange, fault: state.fault,
+	s := snapshot{changed: state.changedSignal, list: a.changesSince(state, after), endOnChange: state.watchForm.EndOnChange,
+		fault: state.fault,
 		defect: state.defect, defectDelay: state.defectDelay, watchBreakCount: state.watchBreakCount, silenceCount: state.silenceCount}
 	if first {
 		s.list = a.firstResponse(state, after)
@@ -199,7 +202,8 @@
 	return write(c, "1\r\n\n\r\n")
 }
 
-// writeBrokenLine ends a watch in the middle of a line: after a pause, or after oversizedLineBytes.
+// writeBrokenLine writes the start of a line and ends the watch without the rest: for FaultOversizedLine after
+// oversizedLineBytes, otherwise at the next change of the agent's state.
 func writeBrokenLine(c *relay.Conn, fault string, wake, ended <-chan struct{}) error {
 	const half = `{"rev":1,"all":true,"targets":[{"uid":"s-`
 	if err := write(c, fmt.Sprintf("%x\r\n%s\r\n", len(half), half)); err != nil {
@@ -215,13 +219,14 @@
 		return errCallerDisconnected
 	}
 	select {
-	case <-wake: // the fault ended or something else changed; the watch is unusable in both cases
+	case <-wake: // the fault ended or other state changed; the watch is unusable in both cases
 	case <-ended:
 	}
 	return errCallerDisconnected
 }
 
-// applyDefect plants a defect for the checkers: it records changes as notified that the sidecar gets late or never.
+// applyDefect plants a defect that the checkers must detect: it records changes as notified that the sidecar gets late
+// or never. It returns the list to write.
 func (a *Agents) applyDefect(state *agentState, l List, defect string, delay time.Duration, ended <-chan struct{}) List {
 	a.recordNotified(state, l)
 	if defect == defectNotifyLate {
@@ -235,10 +240,12 @@
 	return l
 }
 
-// recordNotified records the states that the sidecar knows from now on.
+// recordNotified records the states of the entries of a list that the sidecar has received. For a complete list it
+// also records the entries that the list omits as Gone.
 func (a *Agents) recordNotified(state *agentState, l List) {
 	for _, e := range l.Targets {
-		a.log.Add(record.Event{Kind: record.Notified, Sidecar: int32(state.sidecar), Server: int32(e.Number), Class: record.None, N: e.BootMS, Note: e.State})
+		a.log.Add(record.Event{Kind: record.Notified, Sidecar: int32(state.sidecar), Server: int32(e.Number),
+			Class: record.None, N: e.BootMS, Note: e.State})
 	}
 	if !l.All {
 		return
@@ -246,8 +253,9 @@
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	for n, e := range state.entries {
-		if e.State == Gone || l.omitsDraining && e.State == Terminating { // omission from a complete list means gone
-			a.log.Add(record.Event{Kind: record.Notified, Sidecar: int32(state.sidecar), Server: int32(n), Class: record.None, N: e.BootMS, Note: Gone})
+		if e.State == Gone || l.omitsDraining && e.State == Terminating { // a complete list omits it
+			a.log.Add(record.Event{Kind: record.Notified, Sidecar: int32(state.sidecar), Server: int32(n),
+				Class: record.None, N: e.BootMS, Note: Gone})
 		}
 	}
 }
--- a/internal/lab/agent/watch_form.go
+++ b/internal/lab/agent/watch_form.go
@@ -7,17 +7,19 @@
 	"marblelane/internal/lab/relay"
 )
 
-// WatchForm is how an agent delivers answers and changes. The zero value delivers each change immediately, in one piece.
+// WatchForm defines how an agent delivers lists and changes. The zero value delivers each change immediately, in one
+// write.
 type WatchForm struct {
-	EndOnChange   bool // a watch ends instead of delivering a change
-	CompleteFirst bool // the first answer to a call is the complete list without draining servers
-	PieceBytes    int  // bytes per write; 0: everything in one write
+	EndOnChange   bool // a watch ends cleanly instead of delivering a change
+	CompleteFirst bool // the first list of each response is complete, but omits draining servers
+	PieceBytes    int  // bytes per write; 0: a whole list in one write
 }
 
-// pieceInterval is the pause between two pieces.
+// pieceInterval is the pause between the writes of two pieces.
 const pieceInterval = 2 * time.Millisecond
 
-// firstResponse returns the first answer to a call for the changes after a revision. v.mu is held.
+// firstResponse returns the first list of a response to a request for the changes after a revision. The caller holds
+// state.mu.
 func (a *Agents) firstResponse(state *agentState, after int64) List {
 	if !state.watchForm.CompleteFirst {
 		return a.changesSince(state, after)
@@ -43,12 +45,12 @@
 	return errCallerDisconnected
 }
 
-// writeLine writes a line of a watch, in one chunk or in several.
+// writeLine writes a line of a watch, in one HTTP chunk per piece.
 func (state *agentState) writeLine(c *relay.Conn, line string) error {
 	return state.writePieces(c, line, func(piece string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece) })
 }
 
-// writePieces writes a text in pieces of PieceBytes, each wrapped by frame.
+// writePieces writes a text in pieces of PieceBytes. It writes the result of frame for each piece.
 func (state *agentState) writePieces(c *relay.Conn, text string, frame func(string) string) error {
 	state.mu.Lock()
 	size := state.watchForm.PieceBytes
--- a/internal/lab/experiment/listscale/listscale.go
+++ b/internal/lab/experiment/listscale/listscale.go
@@ -1,6 +1,7 @@
-// Package listscale measures what the list service costs with many watchers. One copy runs as a process. Watchers join,
-// half of the entries change, and the copy is killed and restarted; the time until all watchers have a change, the bytes,
-// the processor time, the memory and the recovery time are taken. The baseline encodes each change once for each watcher.
+// Package listscale measures the cost of the list service with many watchers. One replica runs as a process. Watchers
+// connect, half of the entries change, and the replica is killed and restarted. The experiment measures the time until
+// all watchers have received a change, the bytes sent, the processor time, the memory and the recovery time. As a
+// baseline it also measures a service that encodes each change separately for each watcher.
 // The command is `marblelane lab list-scale`.
 package listscale
 
@@ -27,24 +28,25 @@
 	"marblelane/internal/lab/relay"
 )
 
-// Point is what one size of the list service cost. One copy is measured, a process of its own.
+// Point is the measured cost of the list service for one number of watchers and entries. The service is a single
+// replica in its own process.
 type Point struct {
-	EachEncodes      bool    `json:"each_encodes"` // the baseline: each watcher encodes for itself
+	EachEncodes      bool    `json:"each_encodes"` // the baseline: each change is encoded once per watcher
 	Watchers         int     `json:"watchers"`
 	Entries          int     `json:"entries"`
 	Changes          int     `json:"changes"`
-	NotifyP50MS      float64 `json:"tell_p50_ms"` // from the call of a write until the last watcher has it
+	NotifyP50MS      float64 `json:"tell_p50_ms"` // from the start of a write until the last watcher has it
 	NotifyP99MS      float64 `json:"tell_p99_ms"`
 	BytesPerChange   float64 `json:"bytes_per_change"`
 	CPUPerChange     float64 `json:"cpu_us_per_change"`
 	MemoryPerWatcher float64 `json:"kb_per_watcher"`
-	RecoveryTime     float64 `json:"return_s"` // from a kill and a restart until all watchers have the list again
-	PeakMemory       float64 `json:"peak_mb"`  // of the restarted copy
+	RecoveryTime     float64 `json:"return_s"` // from a kill, with a restart, until all watchers have the list
+	PeakMemory       float64 `json:"peak_mb"`  // of the restarted replica
 }
 
 const (
-	changePeriod      = 7 * time.Second // in which half of the entries change
-	heartbeatInterval = "100ms"         // between two heartbeats of the copy
+	changePeriod      = 7 * time.Second // period over which half of the entries change
+	heartbeatInterval = "100ms"         // time between two heartbeats of the replica, as in its configuration
 	electionAttempts  = 1000
 	electionRetryWait = 20 * time.Millisecond
 	notifyTimeout     = 2 * time.Minute
@@ -54,7 +56,8 @@
 	watchBufferBytes  = 4 << 10
 )
 
-// Measure measures the list service at each size, with shared encoding and the baseline in turn.
+// Measure measures the list service with each combination of the numbers of entries and watchers, first with shared
+// encoding, then as the baseline.
 func Measure(ctx context.Context, watchers, entries []int, o harness.Options) ([]Point, error) {
 	var points []Point
 	for _, entryCount := range entries {
@@ -75,21 +78,21 @@
 	return points, nil
 }
 
-// notification is a revision that a watcher received.
+// notification is the receipt of a revision by a watcher.
 type notification struct {
 	revision int64
-	at       time.Duration
+	at       time.Duration // on the clock of the listRun
 }
 
-// watcher follows the list and counts what it receives.
+// watcher watches the list and records the revisions and bytes that it receives.
 type watcher struct {
-	revision      atomic.Int64
-	receivedBytes *atomic.Int64 // bytes, of all watchers together
+	revision      atomic.Int64  // the last one received
+	receivedBytes *atomic.Int64 // shared by all watchers
 	mu            sync.Mutex
-	notifications []notification // in the order of their revisions
+	notifications []notification // by ascending revision
 }
 
-// run keeps a watch open until ctx ends, and waits between two as long as the service wants.
+// run keeps a watch open until ctx ends. Between two watches it waits as long as the service requests.
 func (w *watcher) run(ctx context.Context, client *http.Client, addr string, now func() time.Duration) {
 	for ctx.Err() == nil {
 		wait := w.watch(ctx, client, addr, now)
@@ -99,7 +102,7 @@
 	}
 }
 
-// watch reads one watch until it ends, and returns the wait before the next one.
+// watch opens a watch, reads it until it ends, and returns the wait before the next one.
 func (w *watcher) watch(ctx context.Context, client *http.Client, addr string, now func() time.Duration) (wait time.Duration) {
 	url := fmt.Sprintf("http://%s/registry/instances?watch=1&after=%d", addr, w.revision.Load())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -121,7 +124,7 @@
 	return watchRetryWait
 }
 
-// read notes each line of a watch until the watch ends. It decodes no more than the revision, to keep the cost of the
+// read records each line of a watch until the watch ends. It decodes only the revision, to keep the cost of the
 // watchers out of the measurement.
 func (w *watcher) read(body io.Reader, now func() time.Duration) {
 	in := bufio.NewReaderSize(body, watchBufferBytes)
@@ -155,12 +158,14 @@
 	return w.notifications[i].at
 }
 
+// watchLine is the revision and the size of a line of a watch.
 type watchLine struct {
 	revision int64
-	size     int
+	size     int // bytes
 }
 
-// readRevision reads a line of any length and keeps its revision, which is its first field.
+// readRevision reads a line of any length and returns its revision, which is the first field of the line, and its
+// size.
 func readRevision(in *bufio.Reader) (watchLine, error) {
 	var line watchLine
 	for first := true; ; first = false {
@@ -169,7 +174,7 @@
 			text := bytes.TrimPrefix(chunk, []byte(`{"rev":`))
 			end := bytes.IndexByte(text, ',')
 			if end < 0 {
-				return line, errors.New("a line without a revision")
+				return line, errors.New("read watch: line has no revision")
 			}
 			line.revision, _ = strconv.ParseInt(string(text[:end]), 10, 64)
 		}
@@ -180,32 +185,33 @@
 	}
 }
 
-// acceptedWrite is a change of an entry that was accepted.
+// acceptedWrite is a write of an entry that the service accepted.
 type acceptedWrite struct {
 	revision int64
-	calledAt time.Duration
+	calledAt time.Duration // when the request was started, on the clock of the listRun
 }
 
-// listRun is one copy of the list service with its watchers.
+// listRun is one measurement: a replica of the list service and its watchers.
 type listRun struct {
 	entries  int
-	start    time.Time
-	addr     string
+	start    time.Time // zero of the measurement's clock
+	addr     string    // of the list service
 	spec     process.Spec
 	children *process.Supervisor
 	replica  *process.Child
-	writer   *http.Client
+	writer   *http.Client // writes entries
 
 	watchers       []*watcher
-	receivedBytes  atomic.Int64 // bytes, of all watchers together
+	receivedBytes  atomic.Int64 // by all watchers together
 	watcherTasks   sync.WaitGroup
 	cancelWatchers context.CancelFunc
 }
 
+// now returns the time since the start of the measurement.
 func (r *listRun) now() time.Duration { return time.Since(r.start) }
 
-// measurePoint measures one size: memory as the watchers join, time, bytes and processor time as entries change,
-// and the recovery after the copy was killed.
+// measurePoint measures one number of watchers and entries: the memory as the watchers connect, the time, bytes and
+// processor time as entries change, and the recovery after the replica is killed.
 func measurePoint(ctx context.Context, watchers, entries int, eachEncodes bool, o harness.Options) (*Point, error) {
 	dir, err := os.MkdirTemp("", "marblelane-list-")
 	if err != nil {
@@ -239,7 +245,7 @@
 	return p, r.measureRecovery(ctx, p, lastRevision)
 }
 
-// configure writes the copy's configuration into dir.
+// configure writes the replica's configuration into dir.
 func (r *listRun) configure(dir, program string, eachEncodes bool) error {
 	addr, err := relay.FreeAddr("127.0.0.1")
 	if err != nil {
@@ -258,7 +264,7 @@
 	return os.WriteFile(file, []byte(text), 0o644)
 }
 
-// startReplica starts the copy and waits until it is ready.
+// startReplica starts the replica and waits until it is ready.
 func (r *listRun) startReplica(ctx context.Context) error {
 	child, err := r.children.Start(r.spec)
 	if err != nil {
@@ -271,7 +277,7 @@
 	return err
 }
 
-// writeAllEntries writes all entries, the first as soon as the copy is elected.
+// writeAllEntries writes all entries. It retries the first write until the replica is elected leader.
 func (r *listRun) writeAllEntries(ctx context.Context) error {
 	for attempt := 0; ; attempt++ {
 		_, err := r.writeEntry(0, 1)
@@ -288,7 +294,7 @@
 	})
 }
 
-// writeEntry writes an entry with this boot time.
+// writeEntry writes an entry with a boot time. A new boot time makes the write a change.
 func (r *listRun) writeEntry(entry int, bootMS int64) (acceptedWrite, error) {
 	w := acceptedWrite{calledAt: r.now()}
 	url := fmt.Sprintf("http://%s/registry/instances/s-%08x", r.addr, entry)
@@ -300,14 +306,14 @@
 	}
 	defer resp.Body.Close()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.StatusCode != http.StatusOK {
-		return w, fmt.Errorf("a write is answered %s, %w", resp.Status, err)
+		return w, fmt.Errorf("write entry: status %s, %w", resp.Status, err)
 	}
 	w.revision, err = strconv.ParseInt(resp.Header.Get("X-Registry-Rev"), 10, 64)
 	return w, err
 }
 
-// measureJoin starts the watchers, waits until all have the list, and sets the memory per watcher. It returns what
-// the copy used by then.
+// measureJoin starts the watchers, waits until all have the list, and sets the memory per watcher. It returns the
+// replica's resource usage at that time.
 func (r *listRun) measureJoin(ctx context.Context, p *Point) (joined process.Usage, err error) {
 	before, err := process.Measure(r.replica.PID)
 	if err != nil {
@@ -332,7 +338,7 @@
 	return joined, nil
 }
 
-// stopWatchers ends the watchers, if there are any, and waits for them.
+// stopWatchers ends the watchers and waits for them. It does nothing if none were started.
 func (r *listRun) stopWatchers() {
 	if r.cancelWatchers != nil {
 		r.cancelWatchers()
@@ -340,19 +346,20 @@
 	r.watcherTasks.Wait()
 }
 
-// awaitRevision waits until all watchers have a revision.
+// awaitRevision waits until all watchers have received a revision, at most notifyTimeout.
 func (r *listRun) awaitRevision(ctx context.Context, revision int64) error {
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	for slices.ContainsFunc(r.watchers, func(w *watcher) bool { return w.revision.Load() < revision }) {
 		if !harness.Sleep(ctx, time.Millisecond) {
-			return errors.New("some watchers are told nothing")
+			return errors.New("wait for watchers: revision not received by all")
 		}
 	}
 	return nil
 }
 
-// measureChanges changes half of the entries, sets what that costs from before on, and returns the last revision.
+// measureChanges changes half of the entries and sets the cost of the changes. The processor time counts from the
+// usage before. It returns the last revision.
 func (r *listRun) measureChanges(ctx context.Context, p *Point, before process.Usage) (last int64, err error) {
 	r.receivedBytes.Store(0)
 	writes, err := r.changeHalf(ctx, p.Changes)
@@ -377,7 +384,7 @@
 	return last, nil
 }
 
-// changeHalf writes every other entry again, evenly over changeBurst.
+// changeHalf writes every second entry again, at even intervals over changePeriod.
 func (r *listRun) changeHalf(ctx context.Context, changes int) ([]acceptedWrite, error) {
 	writes := make([]acceptedWrite, changes)
 	start := r.now()
@@ -393,7 +400,8 @@
 	return writes, err
 }
 
-// notifyDelays returns, for each write, the time from its call until the last watcher had it, in ascending order.
+// notifyDelays returns, for each write, the time from its start until the last watcher received it, in ascending
+// order.
 func (r *listRun) notifyDelays(writes []acceptedWrite) []time.Duration {
 	var delays []time.Duration
 	for _, write := range writes {
@@ -407,7 +415,7 @@
 	return delays
 }
 
-// measureRecovery kills and restarts the copy, and measures until all watchers have the list again.
+// measureRecovery kills and restarts the replica, and measures the time until all watchers have the list again.
 func (r *listRun) measureRecovery(ctx context.Context, p *Point, lastRevision int64) error {
 	r.replica.Kill()
 	for _, w := range r.watchers {
@@ -427,7 +435,7 @@
 	return nil
 }
 
-// Print writes the sizes as a table, with how the processor time grows with the number of watchers.
+// Print writes the points as a table, and below it how the processor time grows with the number of watchers.
 func Print(w io.Writer, points []Point) {
 	fmt.Fprintf(w, "%-12s %8s %8s %8s %10s %10s %13s %12s %11s %9s %8s\n", "encoded", "watchers", "entries", "changes", "tell p50",
 		"tell p99", "bytes/change", "us/change", "KB/watcher", "return s", "peak MB")
@@ -446,7 +454,8 @@
 	}
 }
 
-// printCPUGrowth writes the exponent of the growth from the fewest to the most watchers, for one number of entries.
+// printCPUGrowth writes how the processor time per change grows from the first number of watchers to the last, for one
+// number of entries: the exponent k of time ~ watchers^k.
 func printCPUGrowth(w io.Writer, points []Point, entries int) {
 	for _, eachEncodes := range []bool{false, true} {
 		var matching []Point
@@ -460,7 +469,7 @@
 			continue
 		}
 		exponent := math.Log(last.CPUPerChange/first.CPUPerChange) / math.Log(float64(last.Watchers)/float64(first.Watchers))
-		fmt.Fprintf(w, "%d entries, each encodes: %v: CPU a change grows as watchers to the power of %.2f\n",
+		fmt.Fprintf(w, "%d entries, each encodes: %v: CPU per change grows as watchers to the power of %.2f\n",
 			entries, eachEncodes, exponent)
 	}
 }
--- a/internal/lab/experiment/overhead/overhead.go
+++ b/internal/lab/experiment/overhead/overhead.go
@@ -1,6 +1,7 @@
-// Package overhead measures what the lab's own clients and the sidecars add to the latency of a request. A scenario of fixed
-// work is played over three paths in turn: from a plain client straight to the stand-in servers, from the lab's clients
-// without sidecars, and from the lab's clients through sidecars. The command is `marblelane lab overhead`.
+// Package overhead measures how much latency the lab's own clients and the sidecars add to a request. It runs a
+// scenario in which every request takes the same server time, over three paths in turn: from a plain client directly
+// to the stand-in servers, from the lab's clients without sidecars, and from the lab's clients through sidecars. The
+// command is `marblelane lab overhead`.
 package overhead
 
 import (
@@ -20,7 +21,7 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// Result is the latency that one request path adds to the servers' own work, in milliseconds.
+// Result is the latency that one request path adds to the servers' processing time, in milliseconds.
 type Result struct {
 	Path     string  `json:"way"`
 	P50      float64 `json:"p50_ms"`
@@ -28,14 +29,14 @@
 	Requests int     `json:"requests"`
 }
 
-// Measure sends requests of fixed work over three paths, in one process and in turn: from a plain client to the
-// stand-ins, without any record; from the lab's clients, without sidecars; and from the lab's clients through the
-// sidecars. The difference of the first two is the lab's own overhead.
+// Measure sends requests with a fixed server time over three paths, in one process and in turn: from a plain client to
+// the stand-in servers, without recording events; from the lab's clients without sidecars; and from the lab's clients
+// through sidecars. The difference between the first two results is the lab's own overhead.
 func Measure(ctx context.Context, s *scenario.Scenario, o harness.Options) ([]Result, error) {
 	work := s.Classes[0].Work.Milliseconds() / s.Traffic.Speedup / s.Servers.Kinds[0].Speed[0]
 	plain, err := measurePlainClient(ctx, s, o)
 	if err != nil {
-		return nil, fmt.Errorf("overhead: %w", err)
+		return nil, fmt.Errorf("overhead: plain client: %w", err)
 	}
 	results := []Result{{Path: "plain client", Requests: int(plain.TotalCount()),
 		P50: float64(plain.ValueAtQuantile(50))/1000 - work, P99: float64(plain.ValueAtQuantile(99))/1000 - work}}
@@ -53,8 +54,8 @@
 	return results, nil
 }
 
-// measurePlainClient sends the planned requests straight to the stand-ins over kept connections, and measures from their
-// planned times.
+// measurePlainClient sends the planned requests directly to the stand-in servers over persistent connections. It
+// measures each latency from the request's planned time.
 func measurePlainClient(ctx context.Context, s *scenario.Scenario, o harness.Options) (*hdrhistogram.Histogram, error) {
 	servers, err := lab.StartServers(ctx, s, o)
 	if err != nil {
@@ -79,20 +80,20 @@
 	return c.latency, ctx.Err()
 }
 
-// maxLatency is the longest that the histogram records.
+// maxLatency is the longest latency that the histogram records.
 const maxLatency = time.Minute
 
-// plainClient sends requests over connections that it keeps.
+// plainClient sends requests over persistent connections and records their latency.
 type plainClient struct {
-	start   time.Time
-	warmUp  time.Duration
+	start   time.Time     // planned times count from here
+	warmUp  time.Duration // requests planned earlier are not recorded
 	mu      sync.Mutex
-	idle    map[string][]net.Conn // by address
-	latency *hdrhistogram.Histogram
+	idle    map[string][]net.Conn   // connections without a request, by address
+	latency *hdrhistogram.Histogram // in microseconds
 }
 
-// send sends a request, and records its latency from the time it was planned for, counted from the start. A request that
-// fails is not recorded.
+// send sends a request and records its latency since its planned time, which counts from the start. A failed request
+// is not recorded.
 func (c *plainClient) send(addr string, id uint64, planned time.Duration) {
 	conn, err := c.conn(addr)
 	if err != nil {
@@ -109,12 +110,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil && planned >= c.warmUp {
-		_ = c.latency.RecordValue(latency.Microseconds()) // fails beyond maxLatency, which no request takes
+		_ = c.latency.RecordValue(latency.Microseconds()) // fails only above maxLatency, which no request reaches
 	}
 	c.idle[addr] = append(c.idle[addr], conn)
 }
 
-// conn takes an idle connection or opens one.
+// conn returns an idle connection to an address, or opens one.
 func (c *plainClient) conn(addr string) (net.Conn, error) {
 	c.mu.Lock()
 	if n := len(c.idle[addr]); n > 0 {
@@ -127,6 +128,7 @@
 	return net.DialTimeout("tcp4", addr, time.Second)
 }
 
+// close closes the idle connections.
 func (c *plainClient) close() {
 	for _, conns := range c.idle {
 		for _, conn := range conns {
@@ -135,7 +137,7 @@
 	}
 }
 
-// Print writes the paths as a table.
+// Print writes the results as a table, one line for each path.
 func Print(w io.Writer, paths []Result) {
 	fmt.Fprintf(w, "%-20s %9s %12s %12s   (beyond the servers' own work)\n", "asked by", "requests", "p50 ms", "p99 ms")
 	for _, result := range paths {
--- a/internal/lab/experiment/scale/scale.go
+++ b/internal/lab/experiment/scale/scale.go
@@ -1,6 +1,6 @@
-// Package scale measures how the cost of the lab and of the sidecars grows with the number of sidecars and servers. It plays
-// one scenario with each size of fleet and the same traffic, and takes the processor time per request and the memory. The
-// command is `marblelane lab scale`.
+// Package scale measures how the cost of the lab and of the sidecars grows with the number of sidecars and servers. It
+// runs one scenario with each fleet size and the same traffic, and measures the processor time per request and the
+// memory. The command is `marblelane lab scale`.
 package scale
 
 import (
@@ -17,22 +17,22 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// Point is what one size of fleet cost.
+// Point is the measured cost of one fleet size.
 type Point struct {
 	Sidecars         int     `json:"sidecars"`
 	Servers          int     `json:"servers"`
 	Requests         int     `json:"requests"`
 	LabCPU           float64 `json:"lab_cpu_us_per_request"`
-	SidecarCPU       float64 `json:"sidecar_cpu_us_per_request"` // all sidecars together, their idle work included
+	SidecarCPU       float64 `json:"sidecar_cpu_us_per_request"` // of all sidecars together, including their idle work
 	LabRSS           float64 `json:"lab_rss_mb"`
-	SidecarRSS       float64 `json:"sidecar_rss_mb"` // of the largest
+	SidecarRSS       float64 `json:"sidecar_rss_mb"` // peak of the sidecar that used the most
 	Descriptors      int     `json:"lab_descriptors"`
 	LatenessP99      float64 `json:"lateness_p99_ms"`
 	Outcome          string  `json:"outcome"`
 	LabRSSPerProcess float64 `json:"lab_rss_kb_per_party"`
 }
 
-// Measure plays the scenario with each size of fleet and the same traffic.
+// Measure runs the scenario with each combination of the numbers of sidecars and servers, with the same traffic.
 func Measure(ctx context.Context, s *scenario.Scenario, sidecars, servers []int, o harness.Options) ([]Point, error) {
 	var points []Point
 	progress := o.Progress
@@ -45,7 +45,7 @@
 			}
 			points = append(points, *p)
 			if progress != nil {
-				fmt.Fprintf(progress, "%d sidecars, %d servers: %s, %.0f us of the lab's CPU a request\n",
+				fmt.Fprintf(progress, "%d sidecars, %d servers: %s, %.0f us of the lab's CPU per request\n",
 					sidecarCount, serverCount, p.Outcome, p.LabCPU)
 			}
 		}
@@ -53,18 +53,18 @@
 	return points, nil
 }
 
-// measurePoint plays the scenario with one size of fleet.
+// measurePoint runs the scenario with one fleet size.
 func measurePoint(ctx context.Context, s *scenario.Scenario, sidecars, servers int, o harness.Options) (*Point, error) {
 	sized := *s
 	sized.Sidecars.Count, sized.Servers.Count = sidecars, servers
-	runtime.GC() // frees what the size before left
+	runtime.GC() // frees the memory of the previous run
 	before, err := process.Measure(os.Getpid())
 	if err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	report, err := lab.Run(ctx, &sized, o)
 	if err != nil {
-		return nil, fmt.Errorf("%d sidecars, %d servers: %w", sidecars, servers, err)
+		return nil, fmt.Errorf("run with %d sidecars, %d servers: %w", sidecars, servers, err)
 	}
 	outcome, _ := report.Outcome()
 	result := report.Result
@@ -80,8 +80,8 @@
 	return p, nil
 }
 
-// Print writes the sizes as a table, with how the lab's cost grows from the smallest to the largest: the
-// exponent k of cost ~ parties^k.
+// Print writes the points as a table. Below the table it writes how the lab's cost grows from the first point to the
+// last: the exponent k of cost ~ parties^k, where parties are the sidecars and servers.
 func Print(w io.Writer, points []Point) {
 	fmt.Fprintf(w, "%8s %8s %9s %14s %14s %9s %11s %12s %9s %s\n", "sidecars", "servers", "requests", "lab us/request",
 		"sidecars us/r", "lab MB", "sidecar MB", "descriptors", "late ms", "run")
@@ -95,6 +95,6 @@
 	first, last := points[0], points[len(points)-1]
 	from, to := first.Sidecars+first.Servers, last.Sidecars+last.Servers
 	exponent := func(a, b float64) float64 { return math.Log(b/a) / math.Log(float64(to)/float64(from)) }
-	fmt.Fprintf(w, "growth from %d to %d parties: the lab's CPU a request as their number to the power of %.2f, its memory %.2f\n",
+	fmt.Fprintf(w, "growth from %d to %d parties: the lab's CPU per request as parties to the power of %.2f, its memory to the power of %.2f\n",
 		from, to, exponent(first.LabCPU, last.LabCPU), exponent(first.LabRSS, last.LabRSS))
 }
--- a/internal/lab/experiment/testbed/load.go
+++ b/internal/lab/experiment/testbed/load.go
@@ -15,37 +15,39 @@
 	"marblelane/internal/lab/harness"
 )
 
-// Tenant is the tenant of all requests.
+// Tenant is the tenant ID of all requests that a Load sends.
 const Tenant = "cost"
 
 // Load sends requests to a sidecar over persistent connections.
 type Load struct {
 	addr  string
 	class string
-	rate  float64 // requests a second in all; 0: closed loop
-	ids   *atomic.Uint64
-	conns []*conn
+	rate  float64        // requests per second over all connections; 0: closed loop
+	ids   *atomic.Uint64 // last request ID
+	conns []*conn        // nil: not connected
 }
 
-// NewLoad returns a load of one class at a rate of requests a second; 0: each connection sends the next request after the
-// answer to the one before. Request IDs come from ids.
+// NewLoad returns a load of one class at a rate of requests per second over all connections. At rate 0 it is a closed
+// loop: each connection sends the next request after the response to the previous one. Request IDs come from ids.
 func NewLoad(addr, class string, rate float64, connections int, ids *atomic.Uint64) *Load {
 	return &Load{addr: addr, class: class, rate: rate, ids: ids, conns: make([]*conn, connections)}
 }
 
+// conn is a persistent connection to the sidecar.
 type conn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-// LoadResult is what became of requests.
+// LoadResult is the outcome of the requests that a Load sent.
 type LoadResult struct {
-	Sent, Failed  int64
-	FailureReason string // of a failure; empty: none failed
-	Duration      time.Duration
+	Sent, Failed  int64         // number of requests
+	FailureReason string        // of one of the failed requests; empty: none failed
+	Duration      time.Duration // until the last response
 }
 
-// Drive sends requests for some time and waits for the last answers. An error means that it could not connect.
+// Drive sends requests for a duration and waits for the last responses. An error means that a connection failed to
+// open or that ctx ended.
 func (l *Load) Drive(ctx context.Context, length time.Duration) (LoadResult, error) {
 	start := time.Now()
 	results := make([]LoadResult, len(l.conns))
@@ -65,8 +67,9 @@
 	return total, errors.Join(append(errs, ctx.Err())...)
 }
 
-// driveConnection sends requests over one connection. In the closed loop each follows the answer to the one before. At a
-// rate, connection i of n sends every n-th request when it is due, or after the answer to the one before if that is later.
+// driveConnection sends requests over one connection. In the closed loop each request follows the response to the
+// previous one. At a rate, connection i of n sends every n-th request when it is due, or after the response to the
+// previous request if that is later.
 func (l *Load) driveConnection(ctx context.Context, i int, start time.Time, length time.Duration) (result LoadResult, err error) {
 	for k := 0; ctx.Err() == nil; k++ {
 		if l.rate > 0 {
@@ -93,7 +96,8 @@
 	return result, nil
 }
 
-// sendRequest sends a request and reads its answer. It returns the reason of a failure; empty: it succeeded.
+// sendRequest sends a request over connection i and reads the response. It returns the reason of a failure, or an
+// empty string if the request succeeded.
 func (l *Load) sendRequest(i int) (reason string) {
 	c := l.conns[i]
 	keepOpen := false
@@ -107,7 +111,7 @@
 	head := fmt.Appendf(nil,
 		"GET /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Tenant-Id: %s\r\n"+
 			"X-Timeout-Ms: 2000\r\nX-Route-Key: %x\r\n\r\n", id, l.class, Tenant, id)
-	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // fails on a closed connection, as the write below
+	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // fails only if closed; then the write fails, too
 	if _, err := c.Write(head); err != nil {
 		return err.Error()
 	}
--- a/internal/lab/experiment/testbed/merge_patch.go
+++ b/internal/lab/experiment/testbed/merge_patch.go
@@ -5,7 +5,7 @@
 	"errors"
 )
 
-// mergePatch applies a JSON merge patch (RFC 7386) to a text.
+// mergePatch applies a JSON merge patch (RFC 7386) to a JSON text.
 func mergePatch(text json.RawMessage, patch any) (json.RawMessage, error) {
 	raw, err := json.Marshal(patch)
 	if err != nil {
--- a/internal/lab/experiment/testbed/registry.go
+++ b/internal/lab/experiment/testbed/registry.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	registryHeartbeatInterval = 100 * time.Millisecond // between two heartbeats of a replica
-	changeCallTimeout         = 5 * time.Second        // of one call
+	registryHeartbeatInterval = 100 * time.Millisecond // time between two heartbeats of a replica
+	changeCallTimeout         = 5 * time.Second        // of one change request
 	maxChangeRetries          = 200
 	changeRetryWait           = 50 * time.Millisecond
 )
 
-// Registry is a registry of several real replicas, and a client that changes what they hold.
+// Registry is a cluster of registry replicas, which run as processes, and a client that changes the stored data.
 type Registry struct {
 	*cluster.Cluster
 	client *http.Client
 }
 
-// NewRegistry returns a registry with as many replicas as the scenario's discovery has. Close has to be called after it.
+// NewRegistry returns a registry with the number of replicas in the scenario's discovery section. The caller must call
+// Close.
 func NewRegistry(r *harness.Run) *Registry {
 	config := &scenario.Registry{Replicas: r.Scenario.Discovery.RegistryReplicas, HeartbeatInterval: scenario.Duration(registryHeartbeatInterval)}
 	return &Registry{Cluster: cluster.New(r, config),
@@ -40,7 +41,7 @@
 	r.Stop()
 }
 
-// Addrs returns the addresses of the replicas, beginning with the one of this number.
+// Addrs returns the addresses of all replicas in rotation, beginning with replica number first.
 func (r *Registry) Addrs(first int) []string {
 	var addrs []string
 	for k := range r.Replicas {
@@ -49,8 +50,8 @@
 	return addrs
 }
 
-// Change posts a change, and retries it at the next replica while none accepts changes. It returns the revision, and when
-// the call that was accepted began.
+// Change posts a change. While replicas respond with 503, it retries at the next replica, at most maxChangeRetries
+// times. It returns the revision of the change and when the accepted request was started.
 func (r *Registry) Change(ctx context.Context, path string, body any) (rev int64, calledAt time.Time, err error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -69,12 +70,13 @@
 			return response.Rev, calledAt, nil
 		}
 		if status != http.StatusServiceUnavailable || attempt > maxChangeRetries || !harness.Sleep(ctx, changeRetryWait) {
-			return 0, time.Time{}, fmt.Errorf("%s is answered %d %s: %s", path, status, http.StatusText(status),
+			return 0, time.Time{}, fmt.Errorf("post %s: status %d %s: %s", path, status, http.StatusText(status),
 				bytes.TrimSpace(text))
 		}
 	}
 }
 
+// post sends a POST request and returns the status and the body of the response.
 func (r *Registry) post(ctx context.Context, url string, data []byte) (status int, text []byte, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(data))
 	if err != nil {
--- a/internal/lab/experiment/testbed/sidecar.go
+++ b/internal/lab/experiment/testbed/sidecar.go
@@ -1,5 +1,5 @@
-// Package testbed starts single sidecars with a configuration of their own and sends them requests. Experiments that
-// measure what one sidecar uses stand on it.
+// Package testbed starts single sidecars, each with its own configuration, and sends requests to them. It is the base
+// of the experiments that measure the resources one sidecar uses.
 package testbed
 
 import (
@@ -18,12 +18,12 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// Sidecar is a sidecar process that is ready.
+// Sidecar is a running sidecar process that is ready to serve.
 type Sidecar struct {
 	*process.Child
-	Listen        string // address for clients
-	Management    string // address
-	StartDuration time.Duration
+	Listen        string        // address at which clients connect
+	Management    string        // address of the management listener
+	StartDuration time.Duration // from the start of the process until it was ready
 }
 
 // Start starts a sidecar and waits until it is ready.
@@ -44,7 +44,8 @@
 		Management: logValue(line, "management")}, nil
 }
 
-// logValue returns the value of a key in a log line of words of the form key=value; empty: the line has no such key.
+// logValue returns the value of a key in a log line of words of the form key=value, or an empty string if the line has
+// no such key.
 func logValue(line, key string) string {
 	for _, word := range strings.Fields(line) {
 		if v, ok := strings.CutPrefix(word, key+"="); ok {
@@ -54,9 +55,10 @@
 	return ""
 }
 
-// Stop stops a sidecar in order, so that it leaves its fleet, and kills it if that takes too long.
+// Stop sends SIGTERM to a sidecar, so that it leaves its fleet, and kills it if it has not ended after
+// harness.StopTimeout.
 func (s *Sidecar) Stop() {
-	_ = s.Signal(syscall.SIGTERM) // fails if it has ended
+	_ = s.Signal(syscall.SIGTERM) // fails only if the sidecar has ended
 	kill := time.NewTimer(harness.StopTimeout)
 	defer kill.Stop()
 	select {
@@ -66,7 +68,8 @@
 	}
 }
 
-// BaseConfig is a sidecar's configuration with the limits of a scenario, on loopback addresses that the sidecar chooses.
+// BaseConfig returns a sidecar's configuration with the limits of a scenario. The sidecar listens on loopback ports
+// that the system chooses.
 func BaseConfig(s *scenario.Scenario, seed uint64, discovery string, settings map[string]any) map[string]any {
 	return map[string]any{
 		"listen": "127.0.0.1:0", "management": "127.0.0.1:0", "discovery": discovery,
@@ -75,18 +78,18 @@
 	}
 }
 
-// Launcher starts sidecars that have most of their configuration in common.
+// Launcher starts sidecars that share most of their configuration.
 type Launcher struct {
 	Children       *process.Supervisor
-	Dir            string          // for the files of the sidecars
-	MaxDescriptors int             // of a sidecar
-	Config         json.RawMessage // common to all sidecars
+	Dir            string          // folder for the files of the sidecars
+	MaxDescriptors int             // limit of open file descriptors of each sidecar; 0: the lab's own limit
+	Config         json.RawMessage // configuration of all sidecars, before patches
 
-	launchCount int
+	launchCount int // number of Launch calls; makes the folder of each sidecar unique
 }
 
-// Launch starts a sidecar with the common configuration and patches that are merged into it in turn, and waits until it
-// is ready.
+// Launch starts a sidecar and waits until it is ready. Its configuration is the common one, into which the patches are
+// merged in order.
 func (l *Launcher) Launch(ctx context.Context, name, program string, patches ...any) (*Sidecar, error) {
 	config := l.Config
 	for _, patch := range append([]any{map[string]any{"name": name}}, patches...) {
--- a/internal/lab/harness/address.go
+++ b/internal/lab/harness/address.go
@@ -9,18 +9,19 @@
 	"marblelane/internal/lab/relay"
 )
 
-// FreeSidecarAddr finds a port on the loopback address of a sidecar's clients.
+// FreeSidecarAddr returns an address with a free port at which a sidecar can listen. Each sidecar has a loopback IP
+// address of its own.
 func FreeSidecarAddr(sidecar int) (string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 32+sidecar>>16, sidecar>>8&255, sidecar&255)
 	addr, err := relay.FreeAddr(host)
 	if err != nil {
-		return "", fmt.Errorf("lab: no address for sidecar %d: %w", sidecar, err)
+		return "", fmt.Errorf("lab: find address for sidecar %d: %w", sidecar, err)
 	}
 	return addr, nil
 }
 
-// ReserveAddr finds an unused port of a host and keeps it until Close, so that no other run takes it before the process
-// listens there, or while the process is down. It is not for concurrent use.
+// ReserveAddr reserves an unused port of a host until Close and returns its address. No other run can take the port
+// before the process listens at it, or while the process is down. It must not be called concurrently.
 func (r *Run) ReserveAddr(host string) (string, error) {
 	reservation, err := relay.Reserve(host)
 	if err != nil {
@@ -30,15 +31,15 @@
 	return reservation.Addr(), nil
 }
 
-// The ports of members lie below those at which relays listen on all addresses, as one of those could take a port before
-// the process binds it.
+// Member ports are below the ports at which relays listen on all addresses. Otherwise a relay could take a member's
+// port before the process binds it.
 const (
 	minMemberPort      = 2048
 	memberPortRange    = 8192
 	memberPortAttempts = 64
 )
 
-// FreeMemberAddr finds a port on a loopback address that is free for connections and packets.
+// FreeMemberAddr returns an address of a loopback host with a port that is free for both TCP and UDP.
 func FreeMemberAddr(host string) (string, error) {
 	var lastErr error
 	for range memberPortAttempts {
@@ -54,10 +55,10 @@
 		}
 		lastErr = err
 	}
-	return "", fmt.Errorf("lab: no address: %w", lastErr)
+	return "", fmt.Errorf("lab: find member address: %w", lastErr)
 }
 
-// Host is the host of an address that has a port.
+// Host returns the host of an address of the form host:port, or an empty string if the address is invalid.
 func Host(addr string) string {
 	host, _, _ := net.SplitHostPort(addr)
 	return host
--- a/internal/lab/harness/execute.go
+++ b/internal/lab/harness/execute.go
@@ -8,27 +8,29 @@
 	"marblelane/internal/lab/report"
 )
 
-// Phases are what one kind of run does. Execute calls them in this order. A scenario has been parsed and its plan drawn
-// before.
+// Phases are the steps of one kind of run. Execute calls them in this order. Before the first one, the scenario has
+// been parsed and its plan generated.
 type Phases interface {
-	// Start brings all parties up.
+	// Start starts all parties.
 	Start(ctx context.Context) error
-	// Drive sends the workload and injects the faults until the run is over. What it leaves in Run.Tasks ends with ctx.
+	// Drive sends the workload and injects the faults until the run is over. Goroutines that it starts in Run.Tasks
+	// end when ctx ends.
 	Drive(ctx context.Context) error
-	// Collect gathers what only living parties can tell, and ends them in order.
+	// Collect reads the results that only running parties can report, and shuts the parties down in order.
 	Collect(ctx context.Context) error
-	// Check holds what was recorded to the rules and expectations.
+	// Check compares the recorded events with the invariants and the scenario's expectations.
 	Check(timers TimerLag) *report.Report
-	// Status is how far the run is, in words.
+	// Status returns a short text about the progress of the run.
 	Status() string
-	// Close ends whatever still runs, in any state.
+	// Close ends everything that still runs. It may be called in any state.
 	Close()
 }
 
-// progressInterval is how often the status of a run is printed.
+// progressInterval is the time between two printed progress lines of a run.
 const progressInterval = 2 * time.Second
 
-// Execute plays a run. An error means that it could not be played; what it shows is in the report.
+// Execute executes a run and returns its report. An error means that the run could not be executed. Violations that
+// the run found are in the report.
 func (r *Run) Execute(ctx context.Context, phases Phases) (*report.Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer phases.Close()
@@ -51,8 +53,8 @@
 	return phases.Check(timers), nil
 }
 
-// drive drives the run and measures how late the timers of this process are meanwhile. All tasks have ended when it
-// returns.
+// drive calls phases.Drive and meanwhile measures how late the timers of this process fire. All tasks have ended when
+// it returns.
 func (r *Run) drive(ctx context.Context, phases Phases) (timers TimerLag, err error) {
 	driveCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -62,7 +64,7 @@
 	stop()
 	r.Tasks.Wait()
 	if err := context.Cause(ctx); err != nil {
-		return timers, fmt.Errorf("lab: ended early: %w", err)
+		return timers, fmt.Errorf("lab: run ended early: %w", err)
 	}
 	if driveErr != nil {
 		return timers, fmt.Errorf("lab: %w", driveErr)
@@ -90,5 +92,5 @@
 	}
 }
 
-// Elapsed is the time since all parties were up.
+// Elapsed returns the time since all parties were up.
 func (r *Run) Elapsed() time.Duration { return r.Events.Now() - r.StartedAt }
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -1,5 +1,5 @@
-// Package harness is what every run of the lab shares: its options, scenario and plan, the records of its events, the
-// folder for its files, the processes that it starts, and helpers for time, addresses and concurrent work.
+// Package harness executes the phases of a lab run and holds what every kind of run needs: the options, scenario and
+// plan, the event log, the folder for files, the child processes, and helpers for time, addresses and concurrent work.
 package harness
 
 import (
@@ -17,33 +17,33 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// StartTimeout bounds the start of the processes of a run.
+// StartTimeout is the timeout for the start of the processes of a run.
 const StartTimeout = 30 * time.Second
 
-// StopTimeout is how long a process may take from SIGTERM to its end: the platform's longest, and some room.
+// StopTimeout is the longest time from SIGTERM until a process ends: the platform's limit plus a margin.
 const StopTimeout = 6 * time.Second
 
-// CallTimeout bounds a call to a replica of the registry.
+// CallTimeout is the timeout of a call to a replica of the registry.
 const CallTimeout = 3 * time.Second
 
-// ReadyText starts the log line in which a program says that it serves.
+// ReadyText is the beginning of the message that a program logs when it is ready to serve.
 const ReadyText = "ready name="
 
-// Options are what a run needs beside its scenario.
+// Options are the settings of a run that are not part of its scenario.
 type Options struct {
-	Program         string // the sidecar's file, where the scenario names none
-	OlderProgram    string // the program of the sidecars that the scenario calls older; empty: Program, without routes
-	RegistryProgram string // the command's file, for replicas of the registry; empty: this program
-	Seed            uint64 // 0: the scenario's
-	Dir             string // for the files of the processes; empty: a temporary one that is removed with the run
-	Progress        io.Writer
-	Log             *slog.Logger // nil: none
-
-	// FreeAddr finds the listen address of a sidecar; nil: FreeSidecarAddr.
+	Program         string       // path of the sidecar program if the scenario names none
+	OlderProgram    string       // path of the program of older sidecars; empty: Program, without routes
+	RegistryProgram string       // path of the command that runs registry replicas; empty: this program
+	Seed            uint64       // 0: the scenario's seed
+	Dir             string       // folder for the files of the processes; empty: a temporary one that Run.Close removes
+	Progress        io.Writer    // for progress lines; nil: none are printed
+	Log             *slog.Logger // nil: nothing is logged
+
+	// FreeAddr returns the address at which a sidecar listens. If nil, FreeSidecarAddr is used.
 	FreeAddr func(sidecar int) (string, error)
 }
 
-// Run is the base of a run. All methods may be called from any goroutine, except ReserveAddr and Close.
+// Run is the state that all kinds of run share. All methods except ReserveAddr and Close are safe for concurrent use.
 type Run struct {
 	Scenario  *scenario.Scenario
 	Plan      *scenario.Plan
@@ -52,17 +52,18 @@
 	Log       *slog.Logger
 	Dir       string
 	Processes *process.Supervisor
-	Tasks     sync.WaitGroup // goroutines that end with the run's context
-	StartedAt time.Duration  // when all parties were up, on the clock of Events; the times of the plan are from then on
+	Tasks     sync.WaitGroup // goroutines that end when the run's context ends
+	StartedAt time.Duration  // when all parties were up, on the clock of Events; times of the plan count from here
 
 	reservations  []*relay.Reservation
-	removeDir     bool
+	removeDir     bool // Dir is temporary; Close removes it
 	stopProcesses sync.Once
 	failureMu     sync.Mutex
-	failure       error
+	failure       error // the first error passed to Fail
 }
 
-// New draws the plan and prepares what a run needs before its first process. Close has to be called after it.
+// New generates the plan of a scenario and prepares a run up to the start of its first process. The caller must call
+// Close.
 func New(s *scenario.Scenario, o Options) (*Run, error) {
 	r := &Run{Scenario: s, Plan: s.Plan(o.Seed), Options: o, Log: o.Log, Dir: o.Dir}
 	if r.Options.FreeAddr == nil {
@@ -74,12 +75,12 @@
 	var err error
 	if r.Options.RegistryProgram == "" {
 		if r.Options.RegistryProgram, err = os.Executable(); err != nil {
-			return nil, fmt.Errorf("lab: replicas of the registry are of this program: %w", err)
+			return nil, fmt.Errorf("lab: find the program of the registry replicas: %w", err)
 		}
 	}
 	if r.Dir == "" {
 		if r.Dir, err = os.MkdirTemp("", "marblelane-lab-"); err != nil {
-			return nil, fmt.Errorf("lab: %w", err)
+			return nil, fmt.Errorf("lab: create folder for the run: %w", err)
 		}
 		r.removeDir = true
 	}
@@ -88,12 +89,12 @@
 	return r, nil
 }
 
-// Close ends the processes of the run, gives up its addresses and removes its temporary folder.
+// Close ends the processes of the run, releases its reserved addresses and removes its temporary folder.
 func (r *Run) Close() {
 	r.StopProcesses()
 	for _, reservation := range r.reservations {
 		if err := reservation.Release(); err != nil {
-			r.Log.Warn("lab: address not released", "addr", reservation.Addr(), "err", err)
+			r.Log.Warn("lab: release of a reserved address failed", "addr", reservation.Addr(), "err", err)
 		}
 	}
 	r.reservations = nil
@@ -102,32 +103,32 @@
 	}
 }
 
-// StopProcesses kills all processes of the run. None can be started after it.
+// StopProcesses kills all processes of the run. No process can be started afterwards.
 func (r *Run) StopProcesses() { r.stopProcesses.Do(r.Processes.Close) }
 
-// Fail keeps the first error that makes the run impossible.
+// Fail records that the run cannot continue. Only the first error is kept, and nil is ignored.
 func (r *Run) Fail(err error) {
 	r.failureMu.Lock()
 	defer r.failureMu.Unlock()
 	if r.failure == nil && err != nil {
 		r.failure = err
-		r.Log.Error("lab: the run cannot go on", "err", err)
+		r.Log.Error("lab: run failed", "err", err)
 	}
 }
 
-// Err is the first error that made the run impossible.
+// Err returns the first error passed to Fail, or nil.
 func (r *Run) Err() error {
 	r.failureMu.Lock()
 	defer r.failureMu.Unlock()
 	return r.failure
 }
 
-// RecordNote records an event that is described in words.
+// RecordNote records an event of a kind with a text, for a sidecar and a server.
 func (r *Run) RecordNote(k record.Kind, sidecar, server int, note string) {
 	r.Events.Add(record.Event{Kind: k, Sidecar: int32(sidecar), Server: int32(server), Class: record.None, Note: note})
 }
 
-// Entry is a server of the plan as discovery lists it. Its endpoint is left empty.
+// Entry returns the endpoint list entry of a server of the plan, without its endpoint.
 func (r *Run) Entry(server int, state string, bootMS int64) agent.Entry {
 	p := &r.Plan.Servers[server]
 	return agent.Entry{Number: server, UID: p.UID, Zone: r.Scenario.Network.Zones[p.Zone],
--- a/internal/lab/harness/timer_lag.go
+++ b/internal/lab/harness/timer_lag.go
@@ -7,19 +7,19 @@
 	"marblelane/internal/lab/invariant"
 )
 
-// Stall is a time in which this process was not given the processor.
+// Stall is a period in which this process did not get the processor, seen as a timer that fired late.
 type Stall struct{ from, to time.Time }
 
 const (
 	timerInterval = 10 * time.Millisecond
-	// minStall is the shortest stall that is kept: timers are late by as much on an idle machine.
+	// minStall is the shortest stall that is recorded. Timers are late by up to this much on an idle machine, too.
 	minStall = time.Millisecond
 )
 
-// TimerLag is by how much each tick of a timer was late, and the stalls by which it was.
+// TimerLag is how late a periodic timer of this process fired.
 type TimerLag struct {
-	Lag    []time.Duration
-	Stalls []Stall
+	Lag    []time.Duration // of each tick
+	Stalls []Stall         // the ticks that were late by minStall or more
 }
 
 func measureTimerLag(ctx context.Context) (t TimerLag) {
@@ -27,7 +27,8 @@
 	return t
 }
 
-// MeasureTimerLag measures by how much a timer of this process is late, until ctx ends, and when it was.
+// MeasureTimerLag measures how late each tick of a timer of this process is, until ctx ends. It also returns the
+// stalls.
 func MeasureTimerLag(ctx context.Context) (lag []time.Duration, stalls []Stall) {
 	t := time.NewTimer(timerInterval)
 	defer t.Stop()
@@ -48,7 +49,7 @@
 	}
 }
 
-// StallSpans are stalls on the clock of the plan.
+// StallSpans converts stalls to spans on the clock of the plan, which counts from StartedAt.
 func (r *Run) StallSpans(stalls []Stall) []invariant.Span {
 	now, elapsed := time.Now(), r.Elapsed()
 	sinceStart := func(t time.Time) time.Duration { return elapsed - now.Sub(t) }
--- a/internal/lab/harness/work.go
+++ b/internal/lab/harness/work.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Sleep waits, and tells whether ctx was not done before the time was over.
+// Sleep waits for a duration or until ctx is done. It reports whether the whole duration passed.
 func Sleep(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-time.After(wait):
@@ -18,7 +18,7 @@
 	}
 }
 
-// ForEach calls do for all numbers at once, and gives the first error after all have ended.
+// ForEach calls do concurrently for all numbers, waits for all calls, and returns the first error.
 func ForEach(numbers []int, do func(int) error) error {
 	errs := make(chan error, len(numbers))
 	for _, i := range numbers {
@@ -33,8 +33,8 @@
 	return first
 }
 
-// Parallel calls do for each number below n in a few goroutines, and gives the first error. A goroutine ends at its first
-// error.
+// Parallel calls do for each number below n in a limited number of goroutines, and returns the first error. A
+// goroutine ends at its first error, while the others continue.
 func Parallel(n, goroutines int, do func(i int) error) error {
 	var next atomic.Int64
 	var wg sync.WaitGroup
@@ -58,7 +58,7 @@
 	return first
 }
 
-// Median is the median of a list that is not empty.
+// Median returns the median of a non-empty list, which need not be sorted.
 func Median(list []float64) float64 {
 	list = slices.Sorted(slices.Values(list))
 	n := len(list)
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -1,8 +1,8 @@
 // Package process runs programs as child processes of the lab, each with its own limits, log and directory.
 //
-// A child ends with the lab, also when the lab is killed: the kernel sends it SIGKILL when the thread that started
-// it ends (Pdeathsig), so one thread starts all children and runs as long as the lab. For a child that exits, its
-// exit status and the last lines of its log are available.
+// A child ends with the lab, even when the lab is killed: the kernel sends it SIGKILL when the thread that started it
+// ends (Pdeathsig). One thread therefore starts all children and runs as long as the lab. After a child has exited,
+// its exit status and the last lines of its log are available.
 package process
 
 import (
@@ -24,17 +24,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Supervisor starts children and kills those that are left at the end.
+// Supervisor starts child processes and kills those that still run when it is closed.
 type Supervisor struct {
-	startCalls chan func()
-	done       chan struct{}
-	wg         sync.WaitGroup
+	startCalls chan func()    // calls for the parent thread to execute
+	done       chan struct{}  // closed when the parent thread has executed its last call
+	wg         sync.WaitGroup // one goroutine per running child, which waits for its exit
 
 	mu      sync.Mutex
 	running map[*Child]struct{}
 }
 
-// NewSupervisor starts the thread that is the parent of all children.
+// NewSupervisor returns a supervisor and starts the thread that is the parent of all its children. The caller must
+// call Close.
 func NewSupervisor() *Supervisor {
 	s := &Supervisor{startCalls: make(chan func()), done: make(chan struct{}), running: map[*Child]struct{}{}}
 	go func() {
@@ -47,30 +48,30 @@
 	return s
 }
 
-// Close kills the running children and ends the thread. It kills each child, as the end of the thread may not: the main
-// thread of a process stays until the process exits.
+// Close kills the running children, waits for them, and ends the parent thread. It kills each child itself: if the
+// parent thread is the main thread of the process, it stays until the process exits and Pdeathsig does not apply.
 func (s *Supervisor) Close() {
 	close(s.startCalls)
 	<-s.done
 	s.mu.Lock()
 	for c := range s.running {
-		_ = c.Signal(syscall.SIGKILL) // it has ended, or it will
+		_ = c.Signal(syscall.SIGKILL) // fails only if the child has ended
 	}
 	s.mu.Unlock()
 	s.wg.Wait()
 }
 
-// Spec is a program to run.
+// Spec describes a program to run.
 type Spec struct {
-	Name           string
+	Name           string // of the child, in errors
 	Path           string
 	Args           []string
-	Env            []string
-	Dir            string // working directory, also of its log
-	MaxDescriptors int    // limit of open file descriptors; 0: the lab's own
+	Env            []string // of the form key=value; nil: the lab's own environment
+	Dir            string   // working directory and folder of the log; created if missing
+	MaxDescriptors int      // limit of open file descriptors; 0: the lab's own limit
 }
 
-// LogPath is the log file, shared by all children that were started in Dir.
+// LogPath returns the path of the log file, which all children started in Dir append to.
 func (s *Spec) LogPath() string { return filepath.Join(s.Dir, "log.txt") }
 
 // Child is one started process.
@@ -79,11 +80,11 @@
 	PID   int
 	cmd   *exec.Cmd
 	log   *logTail
-	ended chan struct{}
-	err   error
+	ended chan struct{} // closed when the process has exited
+	err   error         // of the exit; valid after ended is closed
 
 	mu            sync.Mutex
-	stopRequested bool // a signal that ends it was sent
+	stopRequested bool // Signal sent SIGTERM, SIGKILL or SIGINT
 }
 
 // Start starts a program and applies its descriptor limit.
@@ -123,26 +124,26 @@
 		limit := &unix.Rlimit{Cur: uint64(spec.MaxDescriptors), Max: uint64(spec.MaxDescriptors)}
 		if err := unix.Prlimit(c.PID, unix.RLIMIT_NOFILE, limit, nil); err != nil && !errors.Is(err, unix.ESRCH) {
 			c.Kill()
-			return nil, fmt.Errorf("%s: limit of descriptors: %w", spec.Name, err)
+			return nil, fmt.Errorf("%s: set descriptor limit: %w", spec.Name, err)
 		}
 	}
 	return c, nil
 }
 
-// Ended is closed when the child has ended.
+// Ended returns a channel that is closed when the child has ended.
 func (c *Child) Ended() <-chan struct{} { return c.ended }
 
-// Err is the error of the exit; nil for exit status 0. Call it only after Ended is closed.
+// Err returns the error of the exit, or nil for exit status 0. It must be called only after Ended is closed.
 func (c *Child) Err() error { return c.err }
 
-// StopRequested tells whether Signal or Kill has asked the child to end.
+// StopRequested reports whether Signal or Kill sent a signal that ends the child.
 func (c *Child) StopRequested() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stopRequested
 }
 
-// Signal sends a signal; it does nothing if the child has ended.
+// Signal sends a signal to the child. It does nothing if the child has ended.
 func (c *Child) Signal(s syscall.Signal) error {
 	c.mu.Lock()
 	switch s {
@@ -156,18 +157,18 @@
 	return nil
 }
 
-// FillDisk simulates a full disk: from now on a write beyond the first maxFileBytes of a file fails with EFBIG, by the
-// child's RLIMIT_FSIZE. FreeDisk ends it.
+// FillDisk simulates a full disk until FreeDisk: it sets the child's RLIMIT_FSIZE, so that a write beyond the first
+// maxFileBytes of a file fails with EFBIG.
 func (c *Child) FillDisk(maxFileBytes uint64) error {
 	return c.setFileSizeLimit(func(limit *unix.Rlimit) { limit.Cur = maxFileBytes })
 }
 
-// FreeDisk ends FillDisk. It does nothing if the child has ended.
+// FreeDisk reverts FillDisk. It does nothing if the child has ended.
 func (c *Child) FreeDisk() error {
 	return c.setFileSizeLimit(func(limit *unix.Rlimit) { limit.Cur = limit.Max })
 }
 
-// setFileSizeLimit changes the child's RLIMIT_FSIZE.
+// setFileSizeLimit changes the child's RLIMIT_FSIZE. It does nothing if the child has ended.
 func (c *Child) setFileSizeLimit(change func(*unix.Rlimit)) error {
 	var limit unix.Rlimit
 	err := unix.Prlimit(c.PID, unix.RLIMIT_FSIZE, nil, &limit)
@@ -176,18 +177,18 @@
 		err = unix.Prlimit(c.PID, unix.RLIMIT_FSIZE, &limit, nil)
 	}
 	if err != nil && !errors.Is(err, unix.ESRCH) {
-		return fmt.Errorf("%s: limit of file sizes: %w", c.Spec.Name, err)
+		return fmt.Errorf("%s: set file size limit: %w", c.Spec.Name, err)
 	}
 	return nil
 }
 
-// Kill ends the child and waits for it.
+// Kill sends SIGKILL to the child and waits until it has ended.
 func (c *Child) Kill() {
-	_ = c.Signal(syscall.SIGKILL) // it has ended, or it will
+	_ = c.Signal(syscall.SIGKILL) // fails only if the child has ended
 	<-c.ended
 }
 
-// CPU is the processor time of an ended child in seconds; 0 before it has ended.
+// CPU returns the processor time that an ended child used, in seconds, or 0 if it has not ended.
 func (c *Child) CPU() float64 {
 	select {
 	case <-c.ended:
@@ -199,11 +200,11 @@
 	return 0
 }
 
-// LogTail is the last lines of the child's log.
+// LogTail returns the last lines of the child's log, at most tailLines.
 func (c *Child) LogTail() string { return c.log.text() }
 
-// AwaitLog waits for a log line that contains the text, and returns it. If the child ends first, the error has the last
-// lines of its log.
+// AwaitLog waits for a log line that contains a text, and returns the line. Lines already logged count as well. If the
+// child or ctx ends first, the error contains the last lines of the log.
 func (c *Child) AwaitLog(ctx context.Context, text string) (string, error) {
 	w := c.log.addWaiter(text)
 	defer c.log.removeWaiter(w)
@@ -216,12 +217,13 @@
 			return line, nil
 		default:
 		}
-		return "", fmt.Errorf("%s did not start (%w); its log ends:\n%s", c.Spec.Name, exitError(c.err), c.LogTail())
+		return "", fmt.Errorf("%s did not start (%w); last log lines:\n%s", c.Spec.Name, exitError(c.err), c.LogTail())
 	case <-ctx.Done():
-		return "", fmt.Errorf("%s: no %q in its log: %w; it ends:\n%s", c.Spec.Name, text, ctx.Err(), c.LogTail())
+		return "", fmt.Errorf("%s: wait for %q in the log: %w; last log lines:\n%s", c.Spec.Name, text, ctx.Err(), c.LogTail())
 	}
 }
 
+// exitError returns the error of an exit, also for exit status 0.
 func exitError(err error) error {
 	if err == nil {
 		return errors.New("exit status 0")
@@ -231,9 +233,9 @@
 
 // Usage is the resource usage of a process.
 type Usage struct {
-	RSS, PeakRSS int64 // bytes
-	Descriptors  int
-	CPU          float64 // seconds so far
+	RSS, PeakRSS int64   // bytes
+	Descriptors  int     // number of open file descriptors
+	CPU          float64 // processor time used so far, in seconds
 }
 
 // clockTicksPerSecond is the unit of CPU times in /proc (USER_HZ, 100 on Linux).
@@ -245,7 +247,7 @@
 	dir := "/proc/" + strconv.Itoa(pid)
 	status, err := os.ReadFile(dir + "/status")
 	if err != nil {
-		return u, fmt.Errorf("measure: %w", err)
+		return u, fmt.Errorf("measure process: %w", err)
 	}
 	for line := range bytes.Lines(status) {
 		f := strings.Fields(string(line))
@@ -262,9 +264,10 @@
 	}
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
-		return u, fmt.Errorf("measure: %w", err)
+		return u, fmt.Errorf("measure process: %w", err)
 	}
-	// The second field, the program's name, may contain spaces and parentheses; the third follows the last one.
+	// The second field, the program's name in parentheses, may itself contain spaces and parentheses. The third field
+	// follows the last closing parenthesis.
 	if f := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:])); len(f) > 12 {
 		user, _ := strconv.ParseFloat(f[11], 64)
 		system, _ := strconv.ParseFloat(f[12], 64)
@@ -272,31 +275,33 @@
 	}
 	fds, err := os.ReadDir(dir + "/fd")
 	if err != nil {
-		return u, fmt.Errorf("measure: %w", err)
+		return u, fmt.Errorf("measure process: %w", err)
 	}
 	u.Descriptors = len(fds)
 	return u, nil
 }
 
-// logTail writes a log to its file, keeps its last lines, and notifies those who wait for a line.
+// logTail writes a log to its file, keeps the last lines in memory, and notifies waiters of matching lines.
 type logTail struct {
 	file        io.Writer
 	mu          sync.Mutex
-	partialLine []byte
+	partialLine []byte // the start of a line whose end was not written yet, at most maxLineBytes
 	lastLines   []string
 	waiters     map[*lineWaiter]struct{}
 }
 
+// lineWaiter waits for the first log line that contains a text.
 type lineWaiter struct {
 	text  string
-	found chan string
+	found chan string // buffered; receives the line
 }
 
 const (
-	tailLines    = 60 // enough for the lines before a crash's stack trace
-	maxLineBytes = 4 << 10
+	tailLines    = 60      // enough to include the lines before a crash's stack trace
+	maxLineBytes = 4 << 10 // limit of partialLine; bytes beyond it are dropped until the write that ends the line
 )
 
+// Write writes to the log file and processes the lines that p completes.
 func (w *logTail) Write(p []byte) (int, error) {
 	n, err := w.file.Write(p)
 	w.mu.Lock()
@@ -318,6 +323,7 @@
 	return n, err
 }
 
+// offer delivers a line to the waiter if it contains the text and no earlier line matched.
 func (w *lineWaiter) offer(line string) {
 	if strings.Contains(line, w.text) {
 		select {
@@ -327,7 +333,7 @@
 	}
 }
 
-// addWaiter also searches the last lines already written.
+// addWaiter registers a waiter for a text and first checks the last lines already written.
 func (w *logTail) addWaiter(text string) *lineWaiter {
 	waiter := &lineWaiter{text: text, found: make(chan string, 1)}
 	w.mu.Lock()
@@ -345,6 +351,7 @@
 	delete(w.waiters, waiter)
 }
 
+// text returns the last lines of the log.
 func (w *logTail) text() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
