--- a/internal/lab/agent/serve.go
+++ b/internal/lab/agent/serve.go
@@ -168,7 +168,7 @@
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	s := snapshot{changed: state.changedSignal, list: a.changesSince(state, after), endOnChange: state.watchForm.EndOnChange,
-		fault: state.fault,
+		fault:  state.fault,
 		defect: state.defect, defectDelay: state.defectDelay, watchBreakCount: state.watchBreakCount, silenceCount: state.silenceCount}
 	if first {
 		s.list = a.firstResponse(state, after)
