--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -62,7 +62,7 @@
 
 // killServer kills server i. Discovery removes it after its crash delay.
 func (r *run) killServer(i int) error {
-	r.Note(record.ServerState, record.None, i, "dies")
+	r.RecordNote(record.ServerState, record.None, i, "dies")
 	r.servers[i].Kill()
 	r.publish(i, agent.Gone, r.Scenario.Discovery.CrashDelay)
 	return nil
@@ -70,7 +70,7 @@
 
 // startServer starts server i again. Discovery lists it after its add delay.
 func (r *run) startServer(i int) error {
-	r.Note(record.ServerState, record.None, i, invariant.ServerStarted)
+	r.RecordNote(record.ServerState, record.None, i, invariant.ServerStarted)
 	if err := r.servers[i].Restart(); err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 // only listed as terminating, and go on serving all requests.
 func (r *run) drainServers(ctx context.Context, servers []int, keepServing bool) error {
 	for _, i := range servers {
-		r.Note(record.ServerState, record.None, i, "drains")
+		r.RecordNote(record.ServerState, record.None, i, "drains")
 		r.publish(i, agent.Terminating, r.Scenario.Discovery.DrainDelay)
 	}
 	if keepServing {
@@ -119,7 +119,7 @@
 		return err
 	}
 	for _, i := range p.Servers {
-		r.Note(record.ServerState, record.None, i, "is replaced")
+		r.RecordNote(record.ServerState, record.None, i, "is replaced")
 		r.publish(i, agent.Terminating, r.Scenario.Discovery.DrainDelay)
 	}
 	if !harness.Sleep(ctx, r.Scenario.Discovery.DrainDelay.Duration()+r.Scenario.Discovery.Spread.Duration()+r.Scenario.Rules.DrainGrace.Duration()+serverDowntime) {
