--- a/internal/lab/experiment/memberscale/fleet.go
+++ b/internal/lab/experiment/memberscale/fleet.go
@@ -123,7 +123,7 @@
 
 // close ends all members. It cuts the network first, so that members do not gossip about those that end.
 func (f *fleet) close() error {
-	f.network.Set(gossip.Rules{Cut: true})
+	f.network.SetDefault(gossip.Rules{Cut: true})
 	for _, s := range f.members {
 		_ = s.port.Shutdown() // gives nil only
 	}
@@ -314,9 +314,9 @@
 
 // measureLoss counts false detections at one share of lost packets.
 func (f *fleet) measureLoss(ctx context.Context, loss float64) (LossResult, error) {
-	f.network.Set(gossip.Rules{Loss: loss, Delay: networkDelay})
+	f.network.SetDefault(gossip.Rules{Loss: loss, Delay: networkDelay})
 	l, err := f.countEvents(ctx, LossResult{Loss: loss}, f.lossWindow())
-	f.network.Set(gossip.Rules{Delay: networkDelay})
+	f.network.SetDefault(gossip.Rules{Delay: networkDelay})
 	if err != nil {
 		return l, err
 	}
@@ -335,7 +335,7 @@
 			partSize[s], part[s.port.Addr()] = first, 1
 		}
 	}
-	f.network.Split(part)
+	f.network.Partition(part)
 	start := time.Now()
 	err := f.await(ctx, "hears the other side", func(s *member) bool {
 		return 2*partSize[s] < n || s.currentView().Reachable == partSize[s]
--- a/internal/lab/experiment/memberscale/memberscale_test.go
+++ b/internal/lab/experiment/memberscale/memberscale_test.go
@@ -87,7 +87,7 @@
 	require.NoError(t, err)
 	defer f.close()
 	require.NoError(t, f.awaitAgreement(t.Context(), true))
-	f.network.Vanish(gossip.Addr(3), true)
+	f.network.SetHostDown(gossip.Addr(3), true)
 	x, err := f.measureSplit(t.Context(), "one and the rest", 1) // heals all but what vanished
 	require.NoError(t, err)
 	assert.EqualValues(t, -1, x.Agree)
--- a/internal/lab/gossip/gossip_test.go
+++ b/internal/lab/gossip/gossip_test.go
@@ -56,21 +56,21 @@
 		for range 20 {
 			assert.InDelta(t, 5.5, arrive(t, a, b).Seconds()*1000, 0.5)
 		}
-		n.SetWay(a.Addr(), b.Addr(), Rules{Cut: true})
+		n.SetLink(a.Addr(), b.Addr(), Rules{Cut: true})
 		assert.Negative(t, arrive(t, a, b), "a cut holds")
 		assert.Positive(t, arrive(t, b, a), "one way only")
 		n.Heal()
 		for _, part := range []map[netip.AddrPort]int{{a.Addr(): 1}, {b.Addr(): 1}} {
-			n.Split(part)
+			n.Partition(part)
 			assert.Negative(t, arrive(t, a, b))
 			assert.Negative(t, arrive(t, b, a))
 		}
-		n.Split(map[netip.AddrPort]int{a.Addr(): 1, b.Addr(): 1})
+		n.Partition(map[netip.AddrPort]int{a.Addr(): 1, b.Addr(): 1})
 		assert.Positive(t, arrive(t, a, b), "both in one part")
 		n.Heal()
-		n.Vanish(b.Addr(), true)
+		n.SetHostDown(b.Addr(), true)
 		assert.Negative(t, arrive(t, a, b))
-		n.Vanish(b.Addr(), false)
+		n.SetHostDown(b.Addr(), false)
 		assert.Positive(t, arrive(t, a, b))
 		c := a.Counts()
 		assert.Equal(t, Counts{SentPackets: 26, SentBytes: 130, LostPackets: 4, ReceivedPackets: 1, ReceivedBytes: 5}, c)
@@ -119,7 +119,7 @@
 			}
 			assert.NoError(t, mine.Close())
 		}()
-		n.SetWay(a.Addr(), b.Addr(), Rules{Cut: true})
+		n.SetLink(a.Addr(), b.Addr(), Rules{Cut: true})
 		require.NoError(t, its.SetReadDeadline(time.Now().Add(time.Second)))
 		_, err = its.Read(make([]byte, 1))
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "held up by the cut")
@@ -143,18 +143,18 @@
 		require.ErrorIs(t, err, syscall.ECONNREFUSED, "no port listens")
 		var op *net.OpError
 		require.True(t, errors.As(err, &op) && op.Op == "dial", "of the form that memberlist takes for the other's failure")
-		n.SetWay(b.Addr(), a.Addr(), Rules{Cut: true})
+		n.SetLink(b.Addr(), a.Addr(), Rules{Cut: true})
 		_, err = dial(b.Addr())
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the way back is cut")
 		n.Heal()
-		n.SetWay(a.Addr(), b.Addr(), Rules{RejectDials: true})
+		n.SetLink(a.Addr(), b.Addr(), Rules{RejectDials: true})
 		_, err = dial(b.Addr())
 		require.ErrorIs(t, err, syscall.ECONNREFUSED, "rejected on its behalf")
 		n.Heal()
-		n.Vanish(b.Addr(), true)
+		n.SetHostDown(b.Addr(), true)
 		_, err = dial(b.Addr())
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "a host that is away refuses nothing")
-		n.Vanish(b.Addr(), false)
+		n.SetHostDown(b.Addr(), false)
 		for range backlog {
 			_, err = dial(b.Addr())
 			require.NoError(t, err)
@@ -216,7 +216,7 @@
 			}
 		}
 		await(count, all)
-		n.Split(part)
+		n.Partition(part)
 		await(count/2, all)
 		n.Heal()
 		for _, m := range all[1:] {
--- a/internal/lab/gossip/network.go
+++ b/internal/lab/gossip/network.go
@@ -83,17 +83,17 @@
 	n.changed = make(chan struct{})
 }
 
-// Set gives the rules that hold between all that have none of their own.
-func (n *Network) Set(rules Rules) { n.change(func() { n.all = rules }) }
+// SetDefault gives the rules that hold between all that have none of their own.
+func (n *Network) SetDefault(rules Rules) { n.change(func() { n.all = rules }) }
 
-// SetWay gives the rules that hold from one address to another, that way only.
-func (n *Network) SetWay(from, to netip.AddrPort, rules Rules) {
+// SetLink gives the rules that hold from one address to another, that way only.
+func (n *Network) SetLink(from, to netip.AddrPort, rules Rules) {
 	n.change(func() { n.links[link{from, to}] = rules })
 }
 
-// Split puts each address that is named in a part; those of different parts exchange nothing. An address that is not
+// Partition puts each address that is named in a part; those of different parts exchange nothing. An address that is not
 // named is in part 0.
-func (n *Network) Split(part map[netip.AddrPort]int) {
+func (n *Network) Partition(part map[netip.AddrPort]int) {
 	n.change(func() {
 		clear(n.part)
 		for addr, k := range part {
@@ -110,9 +110,9 @@
 	})
 }
 
-// Vanish takes the host of an address off the network, or puts it back: nothing goes in or out, and calls to it come
+// SetHostDown takes the host of an address off the network, or puts it back: nothing goes in or out, and calls to it come
 // to nothing, where those to a host without the process are refused.
-func (n *Network) Vanish(addr netip.AddrPort, away bool) { n.change(func() { n.away[addr] = away }) }
+func (n *Network) SetHostDown(addr netip.AddrPort, away bool) { n.change(func() { n.away[addr] = away }) }
 
 // path gives the rules from one address to another, who listens there, and a channel that is closed at the next
 // change.
--- a/internal/lab/members/network.go
+++ b/internal/lab/members/network.go
@@ -319,8 +319,8 @@
 	})
 }
 
-// Section is the section members of the configuration of a party; nil: it has none.
-func (m *Network) Section(party int) map[string]any {
+// ConfigSection is the section members of the configuration of a party; nil: it has none.
+func (m *Network) ConfigSection(party int) map[string]any {
 	s := m.run.Scenario
 	if party < len(m.run.Plan.Sidecars) && !s.InMembership(party) {
 		return nil
@@ -361,7 +361,7 @@
 		if err != nil {
 			return err
 		}
-		text, err := toml.Marshal(map[string]any{"members": m.Section(party)})
+		text, err := toml.Marshal(map[string]any{"members": m.ConfigSection(party)})
 		if err != nil {
 			return fmt.Errorf("copy %s: %w", c.Name, err)
 		}
--- a/internal/lab/registry_proxy.go
+++ b/internal/lab/registry_proxy.go
@@ -286,7 +286,7 @@
 // passRoutes is the line that a sidecar is sent in place of a line of the registry's routes.
 func (s *registryProxy) rewriteRoutes(line []byte) []byte {
 	if o := s.run.rollouts.Load(); o != nil {
-		o.RecordLine(line)
+		o.RecordSentTable(line)
 	}
 	if undone := s.rollbackDefect.Load(); undone != nil {
 		return undone.Rewrite(line)
--- a/internal/lab/rollouts/driver.go
+++ b/internal/lab/rollouts/driver.go
@@ -484,8 +484,8 @@
 	return f
 }
 
-// RecordLine records the closed revision of a table that a sidecar was sent.
-func (o *Driver) RecordLine(line []byte) {
+// RecordSentTable records the closed revision of a table that a sidecar was sent.
+func (o *Driver) RecordSentTable(line []byte) {
 	var t table
 	if json.Unmarshal(line, &t) == nil {
 		o.recordClosed(record.None, t.Closed)
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -216,7 +216,7 @@
 		config["routes"] = section
 	}
 	if r.members != nil {
-		if section := r.members.Section(s.number); section != nil {
+		if section := r.members.ConfigSection(s.number); section != nil {
 			config["members"] = section
 		}
 	}
