--- a/internal/lab/gossip/gossip_test.go
+++ b/internal/lab/gossip/gossip_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func pair(t *testing.T, rules Rules) (*Network, *Port, *Port) {
+func openPair(t *testing.T, rules Rules) (*Network, *Port, *Port) {
 	n := New(7, rules)
 	var ports [2]*Port
 	for i := range ports {
@@ -35,8 +35,8 @@
 	return n, ports[0], ports[1]
 }
 
-// arrive sends one packet and tells how long it took; -1: it did not come in a minute.
-func arrive(t *testing.T, from, to *Port) time.Duration {
+// sendAndReceive sends one packet and tells how long it took; -1: it did not come in a minute.
+func sendAndReceive(t *testing.T, from, to *Port) time.Duration {
 	sent, err := from.WriteTo([]byte("hello"), to.Addr().String())
 	require.NoError(t, err)
 	select {
@@ -50,28 +50,28 @@
 
 func TestPackets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a, b := pair(t, Rules{Delay: 5 * time.Millisecond, Jitter: time.Millisecond})
+		n, a, b := openPair(t, Rules{Delay: 5 * time.Millisecond, Jitter: time.Millisecond})
 		_, err := n.Open(a.Addr())
 		require.ErrorContains(t, err, "a port is open there")
 		for range 20 {
-			assert.InDelta(t, 5.5, arrive(t, a, b).Seconds()*1000, 0.5)
+			assert.InDelta(t, 5.5, sendAndReceive(t, a, b).Seconds()*1000, 0.5)
 		}
 		n.SetLink(a.Addr(), b.Addr(), Rules{Cut: true})
-		assert.Negative(t, arrive(t, a, b), "a cut holds")
-		assert.Positive(t, arrive(t, b, a), "one way only")
+		assert.Negative(t, sendAndReceive(t, a, b), "a cut holds")
+		assert.Positive(t, sendAndReceive(t, b, a), "one way only")
 		n.Heal()
 		for _, part := range []map[netip.AddrPort]int{{a.Addr(): 1}, {b.Addr(): 1}} {
 			n.Partition(part)
-			assert.Negative(t, arrive(t, a, b))
-			assert.Negative(t, arrive(t, b, a))
+			assert.Negative(t, sendAndReceive(t, a, b))
+			assert.Negative(t, sendAndReceive(t, b, a))
 		}
 		n.Partition(map[netip.AddrPort]int{a.Addr(): 1, b.Addr(): 1})
-		assert.Positive(t, arrive(t, a, b), "both in one part")
+		assert.Positive(t, sendAndReceive(t, a, b), "both in one part")
 		n.Heal()
 		n.SetHostDown(b.Addr(), true)
-		assert.Negative(t, arrive(t, a, b))
+		assert.Negative(t, sendAndReceive(t, a, b))
 		n.SetHostDown(b.Addr(), false)
-		assert.Positive(t, arrive(t, a, b))
+		assert.Positive(t, sendAndReceive(t, a, b))
 		c := a.Counts()
 		assert.Equal(t, Counts{SentPackets: 26, SentBytes: 130, LostPackets: 4, ReceivedPackets: 1, ReceivedBytes: 5}, c)
 	})
@@ -104,7 +104,7 @@
 
 func TestStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a, b := pair(t, Rules{Delay: 10 * time.Millisecond})
+		n, a, b := openPair(t, Rules{Delay: 10 * time.Millisecond})
 		started := time.Now()
 		mine, err := a.DialTimeout(b.Addr().String(), time.Second)
 		require.NoError(t, err)
@@ -137,7 +137,7 @@
 
 func TestDials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a, b := pair(t, Rules{})
+		n, a, b := openPair(t, Rules{})
 		dial := func(to netip.AddrPort) (net.Conn, error) { return a.DialTimeout(to.String(), 10*time.Second) }
 		_, err := dial(Addr(99))
 		require.ErrorIs(t, err, syscall.ECONNREFUSED, "no port listens")
--- a/internal/lab/gossip/network.go
+++ b/internal/lab/gossip/network.go
@@ -38,19 +38,19 @@
 	seed uint64
 
 	mu      sync.RWMutex
-	all     Rules
+	defaultRules     Rules
 	links   map[link]Rules
-	part    map[netip.AddrPort]int // 0 for those not in it
-	away    map[netip.AddrPort]bool
+	partitions    map[netip.AddrPort]int // 0 for those not in it
+	downHosts    map[netip.AddrPort]bool
 	ports   map[netip.AddrPort]*Port
-	opened  uint64
+	openedPorts  uint64
 	changed chan struct{} // closed and replaced at each change, for streams that are held up
 }
 
 // New makes a network without ports, where rules hold between all.
 func New(seed uint64, rules Rules) *Network {
-	return &Network{seed: seed, all: rules, links: map[link]Rules{}, part: map[netip.AddrPort]int{},
-		away:  map[netip.AddrPort]bool{},
+	return &Network{seed: seed, defaultRules: rules, links: map[link]Rules{}, partitions: map[netip.AddrPort]int{},
+		downHosts:  map[netip.AddrPort]bool{},
 		ports: map[netip.AddrPort]*Port{}, changed: make(chan struct{})}
 }
 
@@ -66,16 +66,16 @@
 	if n.ports[addr] != nil {
 		return nil, fmt.Errorf("gossip: %v: a port is open there", addr)
 	}
-	n.opened++
-	p := &Port{net: n, addr: addr, rng: rand.New(rand.NewPCG(n.seed, n.opened)), end: make(chan struct{}),
-		packets: make(chan *memberlist.Packet, packetQueue), streams: make(chan net.Conn, backlog),
-		open: map[*Stream]struct{}{}}
+	n.openedPorts++
+	p := &Port{net: n, addr: addr, rng: rand.New(rand.NewPCG(n.seed, n.openedPorts)), done: make(chan struct{}),
+		packets: make(chan *memberlist.Packet, packetQueueSize), streams: make(chan net.Conn, backlog),
+		openStreams: map[*Stream]struct{}{}}
 	n.ports[addr] = p
 	return p, nil
 }
 
-// change does something to the network and wakes the goroutines that wait for it.
-func (n *Network) change(do func()) {
+// update does something to the network and wakes the goroutines that wait for it.
+func (n *Network) update(do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do()
@@ -84,54 +84,54 @@
 }
 
 // SetDefault gives the rules that hold between all that have none of their own.
-func (n *Network) SetDefault(rules Rules) { n.change(func() { n.all = rules }) }
+func (n *Network) SetDefault(rules Rules) { n.update(func() { n.defaultRules = rules }) }
 
 // SetLink gives the rules that hold from one address to another, that way only.
 func (n *Network) SetLink(from, to netip.AddrPort, rules Rules) {
-	n.change(func() { n.links[link{from, to}] = rules })
+	n.update(func() { n.links[link{from, to}] = rules })
 }
 
 // Partition puts each address that is named in a part; those of different parts exchange nothing. An address that is not
 // named is in part 0.
-func (n *Network) Partition(part map[netip.AddrPort]int) {
-	n.change(func() {
-		clear(n.part)
-		for addr, k := range part {
-			n.part[addr] = k
+func (n *Network) Partition(partitions map[netip.AddrPort]int) {
+	n.update(func() {
+		clear(n.partitions)
+		for addr, k := range partitions {
+			n.partitions[addr] = k
 		}
 	})
 }
 
 // Heal ends cuts, refusals and splits, and takes away the rules of single ways; hosts that vanished stay away.
 func (n *Network) Heal() {
-	n.change(func() {
-		clear(n.part)
+	n.update(func() {
+		clear(n.partitions)
 		clear(n.links)
 	})
 }
 
 // SetHostDown takes the host of an address off the network, or puts it back: nothing goes in or out, and calls to it come
 // to nothing, where those to a host without the process are refused.
-func (n *Network) SetHostDown(addr netip.AddrPort, away bool) { n.change(func() { n.away[addr] = away }) }
+func (n *Network) SetHostDown(addr netip.AddrPort, down bool) { n.update(func() { n.downHosts[addr] = down }) }
 
-// path gives the rules from one address to another, who listens there, and a channel that is closed at the next
+// lookup gives the rules from one address to another, who listens there, and a channel that is closed at the next
 // change.
-func (n *Network) path(from, to netip.AddrPort) (r Rules, p *Port, changed <-chan struct{}) {
+func (n *Network) lookup(from, to netip.AddrPort) (r Rules, p *Port, changed <-chan struct{}) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	r, own := n.links[link{from, to}]
-	if !own {
-		r = n.all
+	r, ok := n.links[link{from, to}]
+	if !ok {
+		r = n.defaultRules
 	}
-	if n.part[from] != n.part[to] || n.away[from] || n.away[to] {
+	if n.partitions[from] != n.partitions[to] || n.downHosts[from] || n.downHosts[to] {
 		r.Cut = true
 	}
 	return r, n.ports[to], n.changed
 }
 
-// forget takes a closed port out.
-func (n *Network) forget(p *Port) {
-	n.change(func() {
+// remove takes a closed port out.
+func (n *Network) remove(p *Port) {
+	n.update(func() {
 		if n.ports[p.addr] == p {
 			delete(n.ports, p.addr)
 		}
--- a/internal/lab/gossip/port.go
+++ b/internal/lab/gossip/port.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	packetQueue = 1024                   // packets that wait at a port; more are lost, as in a system's buffer
+	packetQueueSize = 1024                   // packets that wait at a port; more are lost, as in a system's buffer
 	backlog     = 128                    // streams that wait at a port; a call beyond it is tried again
-	firstRetry  = time.Second            // from a lost call to the next; twice as long each time
-	retransmit  = 200 * time.Millisecond // from a lost part of a stream to the next; twice as long each time
+	firstDialRetry  = time.Second            // from a lost call to the next; twice as long each time
+	firstRetransmit  = 200 * time.Millisecond // from a lost part of a stream to the next; twice as long each time
 )
 
 // Counts are what a port sent and received. Bytes are those of packets and streams, without headers below them.
@@ -42,12 +42,12 @@
 	addr    netip.AddrPort
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	end     chan struct{}
+	done     chan struct{}
 	counts  counters
 
 	mu     sync.Mutex
 	rng    *rand.Rand
-	open   map[*Stream]struct{}
+	openStreams   map[*Stream]struct{}
 	closed bool
 }
 
@@ -75,8 +75,8 @@
 // StreamCh gives the streams that others opened.
 func (p *Port) StreamCh() <-chan net.Conn { return p.streams }
 
-// draw tells whether one packet is lost, and how late it comes otherwise.
-func (p *Port) draw(r Rules) (lost bool, delay time.Duration) {
+// sampleDelivery tells whether one packet is lost, and how late it comes otherwise.
+func (p *Port) sampleDelivery(r Rules) (lost bool, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	lost = p.rng.Float64() < r.Loss
@@ -94,30 +94,30 @@
 		return now, err
 	}
 	select {
-	case <-p.end:
+	case <-p.done:
 		return now, net.ErrClosed
 	default:
 	}
 	p.counts.sentPackets.Add(1)
 	p.counts.sentBytes.Add(uint64(len(b)))
-	rules, at, _ := p.net.path(p.addr, to)
-	lost, delay := p.draw(rules)
-	if lost || at == nil {
+	rules, receiver, _ := p.net.lookup(p.addr, to)
+	lost, delay := p.sampleDelivery(rules)
+	if lost || receiver == nil {
 		p.counts.lost.Add(1)
 		return now, nil
 	}
 	packet := &memberlist.Packet{Buf: bytes.Clone(b), From: net.UDPAddrFromAddrPort(p.addr)}
 	if delay == 0 {
-		at.receive(packet)
+		receiver.receive(packet)
 	} else {
-		time.AfterFunc(delay, func() { at.receive(packet) })
+		time.AfterFunc(delay, func() { receiver.receive(packet) })
 	}
 	return now, nil
 }
 
 func (p *Port) receive(packet *memberlist.Packet) {
 	select {
-	case <-p.end:
+	case <-p.done:
 		return
 	default:
 	}
@@ -156,25 +156,25 @@
 	if timeout <= 0 {
 		return nil, fail(os.ErrDeadlineExceeded)
 	}
-	over := time.NewTimer(timeout)
-	defer over.Stop()
+	deadline := time.NewTimer(timeout)
+	defer deadline.Stop()
 	wait := func(d time.Duration) error {
 		t := time.NewTimer(d)
 		defer t.Stop()
 		select {
 		case <-t.C:
 			return nil
-		case <-over.C:
+		case <-deadline.C:
 			return fail(os.ErrDeadlineExceeded)
-		case <-p.end:
+		case <-p.done:
 			return fail(net.ErrClosed)
 		}
 	}
-	for retry := firstRetry; ; retry *= 2 {
-		there, at, _ := p.net.path(p.addr, to)
-		back, _, _ := p.net.path(to, p.addr)
-		lost, delay := p.draw(there)
-		lostBack, delayBack := p.draw(back)
+	for retry := firstDialRetry; ; retry *= 2 {
+		rules, listener, _ := p.net.lookup(p.addr, to)
+		backRules, _, _ := p.net.lookup(to, p.addr)
+		lost, delay := p.sampleDelivery(rules)
+		lostBack, delayBack := p.sampleDelivery(backRules)
 		if lost || lostBack {
 			if err := wait(retry); err != nil {
 				return nil, err
@@ -184,16 +184,16 @@
 		if err := wait(delay + delayBack); err != nil {
 			return nil, err
 		}
-		if at == nil || there.RejectDials {
+		if listener == nil || rules.RejectDials {
 			p.counts.rejected.Add(1)
 			return nil, fail(os.NewSyscallError("connect", syscall.ECONNREFUSED))
 		}
-		s, err := p.call(at)
+		stream, err := p.openStream(listener)
 		if err != nil {
 			return nil, fail(err)
 		}
-		if s != nil {
-			return s, nil
+		if stream != nil {
+			return stream, nil
 		}
 		if err := wait(retry); err != nil { // its backlog is full
 			return nil, err
@@ -209,12 +209,12 @@
 		return nil
 	}
 	p.closed = true
-	close(p.end)
-	open := p.open
-	p.open = nil
+	close(p.done)
+	streams := p.openStreams
+	p.openStreams = nil
 	p.mu.Unlock()
-	p.net.forget(p)
-	for s := range open {
+	p.net.remove(p)
+	for s := range streams {
 		s.reset()
 	}
 	return nil
--- a/internal/lab/gossip/stream.go
+++ b/internal/lab/gossip/stream.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// window is how many bytes of a stream wait for its reader before its writer is stopped.
-const window = 1 << 20
+// maxBufferedBytes is how many bytes of a stream wait for its reader before its writer is stopped.
+const maxBufferedBytes = 1 << 20
 
-// part is what one Write sent.
-type part struct {
+// segment is what one Write sent.
+type segment struct {
 	due  time.Time // not read before
 	data []byte
 }
@@ -23,9 +23,9 @@
 	from, to *Port
 
 	mu     sync.Mutex
-	parts  []part
-	size   int
-	last   time.Time // when the last part is due: none overtakes another
+	segments  []segment
+	bufferedBytes   int
+	lastDue   time.Time // when the last part is due: none overtakes another
 	closed bool      // no part comes any more
 	broken bool
 	wake   chan struct{} // closed and replaced at each change
@@ -33,13 +33,13 @@
 
 func newPipe(from, to *Port) *pipe { return &pipe{from: from, to: to, wake: make(chan struct{})} }
 
-// touch changes the pipe and wakes who waits at it.
-func (h *pipe) touch(do func()) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// update changes the pipe and wakes who waits at it.
+func (p *pipe) update(do func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	do()
-	close(h.wake)
-	h.wake = make(chan struct{})
+	close(p.wake)
+	p.wake = make(chan struct{})
 }
 
 // Stream is one end of a connection between two ports.
@@ -49,47 +49,47 @@
 
 	mu          sync.Mutex
 	closed      bool
-	read, write time.Time     // deadlines
+	readDeadline, writeDeadline time.Time     // deadlines
 	changed     chan struct{} // closed and replaced when a deadline changes or it is closed
 }
 
-// call opens a stream to a port; none where its backlog is full.
-func (p *Port) call(to *Port) (*Stream, error) {
-	there, back := newPipe(p, to), newPipe(to, p)
-	mine := &Stream{port: p, in: back, out: there, changed: make(chan struct{})}
-	its := &Stream{port: to, in: there, out: back, changed: make(chan struct{})}
-	if !to.keep(its) {
+// openStream opens a stream to a port; none where its backlog is full.
+func (p *Port) openStream(to *Port) (*Stream, error) {
+	outbound, inbound := newPipe(p, to), newPipe(to, p)
+	local := &Stream{port: p, in: inbound, out: outbound, changed: make(chan struct{})}
+	remote := &Stream{port: to, in: outbound, out: inbound, changed: make(chan struct{})}
+	if !to.track(remote) {
 		return nil, os.NewSyscallError("connect", syscall.ECONNREFUSED)
 	}
-	if !p.keep(mine) {
-		its.reset()
+	if !p.track(local) {
+		remote.reset()
 		return nil, net.ErrClosed
 	}
 	select {
-	case to.streams <- its:
+	case to.streams <- remote:
 		p.counts.streams.Add(1)
-		return mine, nil
+		return local, nil
 	default:
-		its.reset()
+		remote.reset()
 		return nil, nil
 	}
 }
 
-// keep has a port's Shutdown break the stream; false: the port is closed.
-func (p *Port) keep(s *Stream) bool {
+// track has a port's Shutdown break the stream; false: the port is closed.
+func (p *Port) track(s *Stream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return false
 	}
-	p.open[s] = struct{}{}
+	p.openStreams[s] = struct{}{}
 	return true
 }
 
 // reset breaks both directions at once.
 func (s *Stream) reset() {
 	for _, h := range []*pipe{s.in, s.out} {
-		h.touch(func() { h.broken, h.parts = true, nil })
+		h.update(func() { h.broken, h.segments = true, nil })
 	}
 	_ = s.Close()
 }
@@ -105,10 +105,10 @@
 	close(s.changed)
 	s.changed = make(chan struct{})
 	s.mu.Unlock()
-	s.out.touch(func() { s.out.closed = true })
-	s.in.touch(func() { s.in.broken = true })
+	s.out.update(func() { s.out.closed = true })
+	s.in.update(func() { s.in.broken = true })
 	s.port.mu.Lock()
-	delete(s.port.open, s)
+	delete(s.port.openStreams, s)
 	s.port.mu.Unlock()
 	return nil
 }
@@ -147,87 +147,87 @@
 
 // Read reads what has arrived. Nothing does while the way to here is cut.
 func (s *Stream) Read(b []byte) (int, error) {
-	h := s.in
+	in := s.in
 	for {
-		rules, _, changed := s.port.net.path(h.from.addr, h.to.addr)
+		rules, _, changed := s.port.net.lookup(in.from.addr, in.to.addr)
 		now := time.Now()
-		h.mu.Lock()
+		in.mu.Lock()
 		var until time.Time
-		wake := h.wake
+		wake := in.wake
 		switch {
-		case h.broken:
-			h.mu.Unlock()
-			return 0, s.failed("read")
-		case len(h.parts) > 0 && !rules.Cut && !now.Before(h.parts[0].due):
-			n := copy(b, h.parts[0].data)
-			if h.parts[0].data = h.parts[0].data[n:]; len(h.parts[0].data) == 0 {
-				h.parts = h.parts[1:]
+		case in.broken:
+			in.mu.Unlock()
+			return 0, s.brokenError("read")
+		case len(in.segments) > 0 && !rules.Cut && !now.Before(in.segments[0].due):
+			n := copy(b, in.segments[0].data)
+			if in.segments[0].data = in.segments[0].data[n:]; len(in.segments[0].data) == 0 {
+				in.segments = in.segments[1:]
 			}
-			h.size -= n
-			h.mu.Unlock()
-			h.touch(func() {})
-			h.to.counts.receivedBytes.Add(uint64(n))
+			in.bufferedBytes -= n
+			in.mu.Unlock()
+			in.update(func() {})
+			in.to.counts.receivedBytes.Add(uint64(n))
 			return n, nil
-		case len(h.parts) == 0 && h.closed && !rules.Cut:
-			h.mu.Unlock()
+		case len(in.segments) == 0 && in.closed && !rules.Cut:
+			in.mu.Unlock()
 			return 0, io.EOF
-		case len(h.parts) > 0 && !rules.Cut:
-			until = h.parts[0].due
+		case len(in.segments) > 0 && !rules.Cut:
+			until = in.segments[0].due
 		}
-		h.mu.Unlock()
-		if err := s.wait(func() time.Time { return s.read }, wake, changed, until); err != nil {
-			return 0, s.op("read", err)
+		in.mu.Unlock()
+		if err := s.wait(func() time.Time { return s.readDeadline }, wake, changed, until); err != nil {
+			return 0, s.opError("read", err)
 		}
 	}
 }
 
 // Write sends; it waits where the reader is far behind.
 func (s *Stream) Write(b []byte) (int, error) {
-	h := s.out
+	out := s.out
 	for {
-		h.mu.Lock()
-		wake, broken, full := h.wake, h.broken || h.closed, h.size > 0 && h.size+len(b) > window
-		h.mu.Unlock()
+		out.mu.Lock()
+		wake, broken, full := out.wake, out.broken || out.closed, out.bufferedBytes > 0 && out.bufferedBytes+len(b) > maxBufferedBytes
+		out.mu.Unlock()
 		if broken {
-			return 0, s.failed("write")
+			return 0, s.brokenError("write")
 		}
 		if !full {
 			break
 		}
-		if err := s.wait(func() time.Time { return s.write }, wake, nil, time.Time{}); err != nil {
-			return 0, s.op("write", err)
+		if err := s.wait(func() time.Time { return s.writeDeadline }, wake, nil, time.Time{}); err != nil {
+			return 0, s.opError("write", err)
 		}
 	}
-	rules, _, _ := s.port.net.path(h.from.addr, h.to.addr)
+	rules, _, _ := s.port.net.lookup(out.from.addr, out.to.addr)
 	rules.Cut = false // that holds it up where it is read
-	lost, delay := s.port.draw(rules)
-	for again := retransmit; lost && again < time.Minute; again *= 2 {
-		var late time.Duration
-		lost, late = s.port.draw(rules)
-		delay += again + late
+	lost, delay := s.port.sampleDelivery(rules)
+	for timeout := firstRetransmit; lost && timeout < time.Minute; timeout *= 2 {
+		var extraDelay time.Duration
+		lost, extraDelay = s.port.sampleDelivery(rules)
+		delay += timeout + extraDelay
 	}
 	s.port.counts.sentBytes.Add(uint64(len(b)))
-	h.touch(func() {
-		if due := time.Now().Add(delay); due.After(h.last) {
-			h.last = due
+	out.update(func() {
+		if due := time.Now().Add(delay); due.After(out.lastDue) {
+			out.lastDue = due
 		}
-		h.parts = append(h.parts, part{due: h.last, data: append([]byte(nil), b...)})
-		h.size += len(b)
+		out.segments = append(out.segments, segment{due: out.lastDue, data: append([]byte(nil), b...)})
+		out.bufferedBytes += len(b)
 	})
 	return len(b), nil
 }
 
-// failed says why a broken stream fails.
-func (s *Stream) failed(op string) error {
+// brokenError says why a broken stream fails.
+func (s *Stream) brokenError(op string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		return s.op(op, net.ErrClosed)
+		return s.opError(op, net.ErrClosed)
 	}
-	return s.op(op, os.NewSyscallError(op, syscall.ECONNRESET))
+	return s.opError(op, os.NewSyscallError(op, syscall.ECONNRESET))
 }
 
-func (s *Stream) op(op string, err error) error {
+func (s *Stream) opError(op string, err error) error {
 	return &net.OpError{Op: op, Net: "tcp", Source: s.LocalAddr(), Addr: s.RemoteAddr(), Err: err}
 }
 
@@ -247,10 +247,10 @@
 }
 
 // SetDeadline bounds reads and writes.
-func (s *Stream) SetDeadline(t time.Time) error { return s.update(func() { s.read, s.write = t, t }) }
+func (s *Stream) SetDeadline(t time.Time) error { return s.update(func() { s.readDeadline, s.writeDeadline = t, t }) }
 
 // SetReadDeadline bounds reads.
-func (s *Stream) SetReadDeadline(t time.Time) error { return s.update(func() { s.read = t }) }
+func (s *Stream) SetReadDeadline(t time.Time) error { return s.update(func() { s.readDeadline = t }) }
 
 // SetWriteDeadline bounds writes.
-func (s *Stream) SetWriteDeadline(t time.Time) error { return s.update(func() { s.write = t }) }
+func (s *Stream) SetWriteDeadline(t time.Time) error { return s.update(func() { s.writeDeadline = t }) }
--- a/internal/lab/members/members_test.go
+++ b/internal/lab/members/members_test.go
@@ -32,8 +32,8 @@
 interval = "200ms"
 `
 
-// dials checks what comes of a call from one party to another's endpoint: it is taken, refused, or silent.
-func dials(t *testing.T, want string, from, to *Endpoint, why ...any) {
+// expectDial checks what comes of a call from one party to another's endpoint: it is taken, refused, or silent.
+func expectDial(t *testing.T, want string, from, to *Endpoint, why ...any) {
 	t.Helper()
 	wait := 5 * time.Second
 	if want == "silent" {
@@ -62,24 +62,24 @@
 	m, err := New(&harness.Run{Scenario: s, Plan: s.Plan(1)})
 	require.NoError(t, err)
 	defer m.Close()
-	f := []*Endpoint{m.newestEndpoint(0), m.newestEndpoint(1), m.newestEndpoint(2)}
-	dials(t, "refused", f[0], f[1], "before its process starts")
-	process, err := net.Listen("tcp4", f[1].bindAddr)
+	endpoints := []*Endpoint{m.newestEndpoint(0), m.newestEndpoint(1), m.newestEndpoint(2)}
+	expectDial(t, "refused", endpoints[0], endpoints[1], "before its process starts")
+	process, err := net.Listen("tcp4", endpoints[1].bindAddr)
 	require.NoError(t, err)
 	defer process.Close()
-	packets, err := net.ListenPacket("udp4", f[1].bindAddr)
+	packets, err := net.ListenPacket("udp4", endpoints[1].bindAddr)
 	require.NoError(t, err)
 	defer packets.Close()
-	out, err := net.ListenPacket("udp4", f[0].bindAddr)
+	out, err := net.ListenPacket("udp4", endpoints[0].bindAddr)
 	require.NoError(t, err)
 	defer out.Close()
-	arrives := func(want bool) {
+	expectPacket := func(want bool) {
 		t.Helper()
 		wait := 5 * time.Second
 		if !want {
 			wait = 100 * time.Millisecond
 		}
-		to, err := net.ResolveUDPAddr("udp4", f[1].Addr())
+		to, err := net.ResolveUDPAddr("udp4", endpoints[1].Addr())
 		require.NoError(t, err)
 		_, err = out.WriteTo([]byte("x"), to)
 		require.NoError(t, err)
@@ -89,8 +89,8 @@
 	}
 	_, err = m.Prepare(1)
 	require.NoError(t, err)
-	dials(t, "taken", f[0], f[1])
-	arrives(true)
+	expectDial(t, "taken", endpoints[0], endpoints[1])
+	expectPacket(true)
 	for way, want := range map[string]struct {
 		to, from string // what comes of a call to the party that is cut off, and of its own
 		arrives  bool   // what is sent to it
@@ -100,28 +100,28 @@
 	} {
 		cut := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-cut", Direction: way}, Sidecars: []int{1}}
 		require.NoError(t, m.SetFault(cut, true))
-		dials(t, want.to, f[0], f[1], way)
-		dials(t, want.from, f[1], f[0], "%s, whose process is not there", way)
-		arrives(want.arrives)
-		m.ProcessEnded(f[1], nil)
-		dials(t, "silent", f[0], f[1], "%s: a refusal does not reach through", way)
+		expectDial(t, want.to, endpoints[0], endpoints[1], way)
+		expectDial(t, want.from, endpoints[1], endpoints[0], "%s, whose process is not there", way)
+		expectPacket(want.arrives)
+		m.ProcessEnded(endpoints[1], nil)
+		expectDial(t, "silent", endpoints[0], endpoints[1], "%s: a refusal does not reach through", way)
 		require.NoError(t, m.SetFault(cut, false))
-		dials(t, "refused", f[0], f[1], way)
-		f[1].assigned = false // the next process has it again
+		expectDial(t, "refused", endpoints[0], endpoints[1], way)
+		endpoints[1].assigned = false // the next process has it again
 		_, err = m.Prepare(1)
 		require.NoError(t, err)
 	}
 	reject := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-refuse"}, Sidecars: []int{1}}
 	require.NoError(t, m.SetFault(reject, true))
-	dials(t, "refused", f[0], f[1], "although its process lives")
-	dials(t, "silent", f[1], f[0])
-	arrives(false)
+	expectDial(t, "refused", endpoints[0], endpoints[1], "although its process lives")
+	expectDial(t, "silent", endpoints[1], endpoints[0])
+	expectPacket(false)
 	require.NoError(t, m.SetFault(reject, false))
-	dials(t, "taken", f[0], f[1])
+	expectDial(t, "taken", endpoints[0], endpoints[1])
 	lose := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-lose", Size: 1}, Sidecars: []int{0}}
 	require.NoError(t, m.SetFault(lose, true))
-	arrives(false)
-	dials(t, "taken", f[0], f[1])
+	expectPacket(false)
+	expectDial(t, "taken", endpoints[0], endpoints[1])
 }
 
 // What a report says of members follows from the records.
@@ -133,27 +133,27 @@
 			N: int64(serial)})
 		return &events[len(events)-1]
 	}
-	says := func(s float64, serial, known, reachable int) {
+	addView := func(s float64, serial, known, reachable int) {
 		e := add(s, record.MembershipStatus, serial, "")
 		e.Status, e.Attempt, e.Canary, e.Work = int32(known), int16(reachable), true, 3
 	}
-	of := func(s float64, by, of int, note string) { add(s, record.MemberStatus, by, note).N = int64(of) }
+	addStatus := func(s float64, by, of int, note string) { add(s, record.MemberStatus, by, note).N = int64(of) }
 	for serial := range 3 {
 		add(-1, record.MemberProcess, serial, invariant.MemberServes)
-		says(0, serial, 3, 3)
+		addView(0, serial, 3, 3)
 	}
-	of(0, 0, 2, "alive n2")
-	of(0, 1, 2, "alive n2")
-	of(0, 0, 1, "alive n1")
-	of(0, 2, 0, "silent n0") // not heard yet
-	of(1, 0, 1, "silent n1")
-	says(2, 1, 3, 3)
+	addStatus(0, 0, 2, "alive n2")
+	addStatus(0, 1, 2, "alive n2")
+	addStatus(0, 0, 1, "alive n1")
+	addStatus(0, 2, 0, "silent n0") // not heard yet
+	addStatus(1, 0, 1, "silent n1")
+	addView(2, 1, 3, 3)
 	add(3, record.MemberProcess, 2, invariant.MemberEnded)
-	of(5, 0, 2, "silent n2")
-	of(6, 1, 2, "silent n2")
-	of(7, 0, 2, "gone n2 refused")
-	says(8, 0, 2, 2)
-	says(9, 1, 2, 2)
+	addStatus(5, 0, 2, "silent n2")
+	addStatus(6, 1, 2, "silent n2")
+	addStatus(7, 0, 2, "gone n2 refused")
+	addView(8, 0, 2, 2)
+	addView(9, 1, 2, 2)
 	out := Result(events, &invariant.Members{Names: []string{"n0", "n1", "n2"}, Sidecars: 3, Peers: 3})
 	assert.Equal(t, 1, out.Deaths)
 	assert.Equal(t, []time.Duration{at(2), at(3)}, out.Noticed.Durations)
--- a/internal/lab/members/network.go
+++ b/internal/lab/members/network.go
@@ -37,8 +37,8 @@
 	partyCount  int
 	partyByAddr map[string]int        // by the address that a party calls from
 	links       [][]*relay.Link       // of connections, by calling and called party
-	packets     [][]*relay.PacketLink // of packets, by sending and called party
-	blocked     *relay.PacketLink
+	packetLinks     [][]*relay.PacketLink // of packets, by sending and called party
+	blockedPackets     *relay.PacketLink
 
 	mu           sync.Mutex
 	endpoints    [][]*Endpoint // of each party, the newest last
@@ -64,33 +64,33 @@
 }
 
 // Addr is the advertised address.
-func (f *Endpoint) Addr() string { return f.proxy.Addr(f.party) }
+func (e *Endpoint) Addr() string { return e.proxy.Addr(e.party) }
 
 // New opens an endpoint for the first process of each party, as the address of every seed is known before it starts.
 func New(r *harness.Run) (*Network, error) {
-	m := &Network{run: r, partyCount: len(r.Plan.Sidecars) + r.Scenario.Discovery.RegistryReplicas, partyByAddr: map[string]int{},
-		blocked: relay.NewPacketLink(relay.PacketRules{Cut: relay.Both}, 0), serials: map[*process.Child]uint64{}}
-	m.ctx, m.stop = context.WithCancel(context.Background())
-	m.endpoints = make([][]*Endpoint, m.partyCount)
-	for i := range m.partyCount {
-		m.partyByAddr[relay.CallerAddr(i)] = i
+	network := &Network{run: r, partyCount: len(r.Plan.Sidecars) + r.Scenario.Discovery.RegistryReplicas, partyByAddr: map[string]int{},
+		blockedPackets: relay.NewPacketLink(relay.PacketRules{Cut: relay.Both}, 0), serials: map[*process.Child]uint64{}}
+	network.ctx, network.stop = context.WithCancel(context.Background())
+	network.endpoints = make([][]*Endpoint, network.partyCount)
+	for i := range network.partyCount {
+		network.partyByAddr[relay.CallerAddr(i)] = i
 		var links []*relay.Link
 		var packets []*relay.PacketLink
-		for j := range m.partyCount {
-			seed := r.Plan.Seed ^ uint64(i*m.partyCount+j)<<20
-			rules := relay.Rules{Latency: m.latencyBetween(i, j), Jitter: r.Scenario.Network.Jitter}
+		for j := range network.partyCount {
+			seed := r.Plan.Seed ^ uint64(i*network.partyCount+j)<<20
+			rules := relay.Rules{Latency: network.latencyBetween(i, j), Jitter: r.Scenario.Network.Jitter}
 			links = append(links, relay.NewLink(rules, seed))
 			packets = append(packets, relay.NewPacketLink(relay.PacketRules{Latency: rules.Latency, Jitter: rules.Jitter}, seed))
 		}
-		m.links, m.packets = append(m.links, links), append(m.packets, packets)
+		network.links, network.packetLinks = append(network.links, links), append(network.packetLinks, packets)
 	}
-	for i := range m.partyCount {
-		if _, err := m.openEndpoint(i, true); err != nil {
-			m.Close()
+	for i := range network.partyCount {
+		if _, err := network.openEndpoint(i, true); err != nil {
+			network.Close()
 			return nil, err
 		}
 	}
-	return m, nil
+	return network, nil
 }
 
 // latencyBetween is the time one way between two parties without faults. The replicas of the registry are near all.
@@ -103,37 +103,37 @@
 }
 
 // openEndpoint makes an endpoint. One that is down refuses connections until a process has been prepared.
-func (m *Network) openEndpoint(party int, dead bool) (*Endpoint, error) {
+func (m *Network) openEndpoint(party int, down bool) (*Endpoint, error) {
 	var err error
 	for range endpointAttempts {
-		f := &Endpoint{party: party, down: dead, reservedFD: -1}
-		if f.bindAddr, err = harness.FreeMemberAddr(relay.CallerAddr(party)); err != nil {
+		endpoint := &Endpoint{party: party, down: down, reservedFD: -1}
+		if endpoint.bindAddr, err = harness.FreeMemberAddr(relay.CallerAddr(party)); err != nil {
 			return nil, err
 		}
-		f.proxy, err = relay.ForwardBySource(func(from int) *relay.Link {
+		endpoint.proxy, err = relay.ForwardBySource(func(from int) *relay.Link {
 			if from >= m.partyCount {
 				return nil
 			}
 			return m.links[from][party]
-		}, func() string { return f.bindAddr })
+		}, func() string { return endpoint.bindAddr })
 		if err != nil {
 			return nil, err
 		}
-		f.packetProxy, err = relay.ForwardPackets(f.Addr(), f.bindAddr, func(from *net.UDPAddr) *relay.PacketLink {
+		endpoint.packetProxy, err = relay.ForwardPackets(endpoint.Addr(), endpoint.bindAddr, func(from *net.UDPAddr) *relay.PacketLink {
 			if n, ok := m.partyByAddr[from.IP.String()]; ok {
-				return m.packets[n][party]
+				return m.packetLinks[n][party]
 			}
-			return m.blocked
+			return m.blockedPackets
 		})
 		if err != nil { // somebody has the port for packets
-			f.proxy.Close()
+			endpoint.proxy.Close()
 			continue
 		}
 		m.mu.Lock()
-		m.endpoints[party] = append(m.endpoints[party], f)
-		err = m.updateListener(f)
+		m.endpoints[party] = append(m.endpoints[party], endpoint)
+		err = m.updateListener(endpoint)
 		m.mu.Unlock()
-		return f, err
+		return endpoint, err
 	}
 	return nil, fmt.Errorf("lab: no address for member %d: %w", party, err)
 }
@@ -147,39 +147,39 @@
 
 // Prepare gives the endpoint for the next process of a party, and lets it forward.
 func (m *Network) Prepare(party int) (*Endpoint, error) {
-	f := m.newestEndpoint(party)
+	endpoint := m.newestEndpoint(party)
 	m.mu.Lock()
-	usable := f.down && (!f.assigned || m.run.Scenario.Members != nil && m.run.Scenario.Members.KeepAddress || party >= len(m.run.Plan.Sidecars))
+	usable := endpoint.down && (!endpoint.assigned || m.run.Scenario.Members != nil && m.run.Scenario.Members.KeepAddress || party >= len(m.run.Plan.Sidecars))
 	m.mu.Unlock()
 	if !usable {
 		var err error
-		if f, err = m.openEndpoint(party, false); err != nil {
+		if endpoint, err = m.openEndpoint(party, false); err != nil {
 			return nil, err
 		}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f.assigned, f.down, f.process = true, false, nil
-	return f, m.updateListener(f)
+	endpoint.assigned, endpoint.down, endpoint.process = true, false, nil
+	return endpoint, m.updateListener(endpoint)
 }
 
 // SetProcess says which process is behind an endpoint.
-func (m *Network) SetProcess(f *Endpoint, c *process.Child) {
+func (m *Network) SetProcess(endpoint *Endpoint, c *process.Child) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f.process = c
+	endpoint.process = c
 }
 
 // ProcessEnded lets an endpoint refuse connections, as the host of a process that has ended does. Nothing changes where a
 // later process has the endpoint by now.
-func (m *Network) ProcessEnded(f *Endpoint, c *process.Child) {
+func (m *Network) ProcessEnded(endpoint *Endpoint, c *process.Child) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if f.process != c {
+	if endpoint.process != c {
 		return
 	}
-	f.down = true
-	if err := m.updateListener(f); err != nil {
+	endpoint.down = true
+	if err := m.updateListener(endpoint); err != nil {
 		m.run.Fail(err)
 	}
 }
@@ -188,31 +188,31 @@
 //
 // Only a whole listener can refuse, so a refusal waits while somebody is cut off from the endpoint: it would reach through
 // the cut. Others are accepted and reset meanwhile, which proves nothing to them.
-func (m *Network) updateListener(f *Endpoint) error {
+func (m *Network) updateListener(endpoint *Endpoint) error {
 	if m.ctx.Err() != nil {
 		return nil
 	}
 	var cut []int
 	for i := range m.partyCount {
-		if m.links[i][f.party].Rules().Cut != 0 {
+		if m.links[i][endpoint.party].Rules().Cut != 0 {
 			cut = append(cut, i)
 		}
 	}
-	if (f.down || m.rejectsCalls(f.party)) && len(cut) == 0 {
-		f.proxy.Kill()
-		f.reservePort()
+	if (endpoint.down || m.rejectsCalls(endpoint.party)) && len(cut) == 0 {
+		endpoint.proxy.Kill()
+		endpoint.reservePort()
 		return nil
 	}
-	f.releasePort()
-	if err := f.proxy.Open(); err != nil {
+	endpoint.releasePort()
+	if err := endpoint.proxy.Open(); err != nil {
 		return err
 	}
 	for i := range m.partyCount {
-		do := f.proxy.Heal
+		apply := endpoint.proxy.Heal
 		if slices.Contains(cut, i) {
-			do = f.proxy.Cut
+			apply = endpoint.proxy.Cut
 		}
-		if err := do(i); err != nil {
+		if err := apply(i); err != nil {
 			return err
 		}
 	}
@@ -221,11 +221,11 @@
 
 // reservePort keeps the port of an endpoint that does not listen: calls are refused as before. While old connections
 // linger it cannot be kept, and need not be.
-func (f *Endpoint) reservePort() {
-	if f.reservedFD >= 0 {
+func (e *Endpoint) reservePort() {
+	if e.reservedFD >= 0 {
 		return
 	}
-	_, port, _ := net.SplitHostPort(f.Addr()) // it was formatted by the proxy
+	_, port, _ := net.SplitHostPort(e.Addr()) // it was formatted by the proxy
 	n, _ := strconv.Atoi(port)
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -235,13 +235,13 @@
 		unix.Close(fd)
 		return
 	}
-	f.reservedFD = fd
+	e.reservedFD = fd
 }
 
-func (f *Endpoint) releasePort() {
-	if f.reservedFD >= 0 {
-		unix.Close(f.reservedFD)
-		f.reservedFD = -1
+func (e *Endpoint) releasePort() {
+	if e.reservedFD >= 0 {
+		unix.Close(e.reservedFD)
+		e.reservedFD = -1
 	}
 }
 
@@ -277,43 +277,43 @@
 
 // updateLinks sets the links from one party to another by all active faults; m.mu is held.
 func (m *Network) updateLinks(i, j int) {
-	var calls relay.Direction // that are silent, of connections from i to j
-	lost, reject := false, false
-	lose, slow := 0.0, time.Duration(0)
+	var cut relay.Direction // that are silent, of connections from i to j
+	packetsCut, reject := false, false
+	packetLoss, extraLatency := 0.0, time.Duration(0)
 	for _, p := range m.activeFaults {
 		from, to := slices.Contains(p.Sidecars, i), slices.Contains(p.Sidecars, j)
 		switch f := p.Fault; {
 		case f.Kind == "members-lose" && (from || to):
-			lose = max(lose, f.Size)
+			packetLoss = max(packetLoss, f.Size)
 		case f.Kind == "members-slow" && (from || to):
-			slow = max(slow, f.Latency.Duration())
+			extraLatency = max(extraLatency, f.Latency.Duration())
 		case from == to:
 		case f.Kind == "members-refuse":
-			lost = true
+			packetsCut = true
 			if reject = reject || to; from { // only the host itself refuses: the process behind it gets nothing
-				calls = relay.Both
+				cut = relay.Both
 			}
 		case f.Kind != "members-cut":
 		case f.Direction == "in":
-			if lost = lost || to; to {
-				calls = relay.Both
+			if packetsCut = packetsCut || to; to {
+				cut = relay.Both
 			}
 		default:
 			// What comes to those who are cut off is lost, or what they send, or both; of a connection that is its
 			// one way or the other.
 			if to && f.Direction != "from" || from && f.Direction != "to" {
-				lost, calls = true, calls|relay.To
+				packetsCut, cut = true, cut|relay.To
 			}
 			if to && f.Direction != "to" || from && f.Direction != "from" {
-				calls |= relay.From
+				cut |= relay.From
 			}
 		}
 	}
 	m.links[i][j].Set(func(r *relay.Rules) {
-		r.Cut, r.Reject, r.Latency = calls, reject, m.latencyBetween(i, j)+slow
+		r.Cut, r.Reject, r.Latency = cut, reject, m.latencyBetween(i, j)+extraLatency
 	})
-	m.packets[i][j].Set(func(r *relay.PacketRules) {
-		if r.Cut, r.PacketLoss, r.Latency = 0, lose, m.latencyBetween(i, j)+slow; lost {
+	m.packetLinks[i][j].Set(func(r *relay.PacketRules) {
+		if r.Cut, r.PacketLoss, r.Latency = 0, packetLoss, m.latencyBetween(i, j)+extraLatency; packetsCut {
 			r.Cut = relay.Both
 		}
 	})
@@ -325,8 +325,8 @@
 	if party < len(m.run.Plan.Sidecars) && !s.InMembership(party) {
 		return nil
 	}
-	f := m.newestEndpoint(party)
-	out := map[string]any{"fleet": FleetLabel, "bind": f.bindAddr, "advertise": f.Addr()}
+	endpoint := m.newestEndpoint(party)
+	section := map[string]any{"fleet": FleetLabel, "bind": endpoint.bindAddr, "advertise": endpoint.Addr()}
 	var seeds []string
 	for _, i := range m.run.Plan.Seeds {
 		if i != party {
@@ -334,21 +334,21 @@
 		}
 	}
 	if len(seeds) > 0 {
-		out["seeds"] = seeds
+		section["seeds"] = seeds
 	}
 	if s.Members.ProbeInterval > 0 {
-		out["interval"] = s.Members.ProbeInterval.Duration().String()
+		section["interval"] = s.Members.ProbeInterval.Duration().String()
 	}
 	if s.Members.AdmitWithin > 0 {
-		out["admit_within"] = s.Members.AdmitWithin.Duration().String()
+		section["admit_within"] = s.Members.AdmitWithin.Duration().String()
 	}
 	if s.Members.TrustRefusals != nil {
-		out["believe_refused"] = *s.Members.TrustRefusals
+		section["believe_refused"] = *s.Members.TrustRefusals
 	}
 	if d := s.Members.Defect; d != "" && party < len(m.run.Plan.Sidecars) {
-		out["defect"] = d
+		section["defect"] = d
 	}
-	return out
+	return section
 }
 
 // StartReplicas turns membership on in the replicas of the registry, which run already: one after another is started again
@@ -357,7 +357,7 @@
 	m.registry = registry
 	for k, c := range m.registry.Replicas {
 		party := len(m.run.Plan.Sidecars) + k
-		f, err := m.Prepare(party)
+		endpoint, err := m.Prepare(party)
 		if err != nil {
 			return err
 		}
@@ -375,13 +375,13 @@
 		if err := m.registry.AwaitLeader(ctx); err != nil {
 			return err
 		}
-		m.wg.Go(func() { m.followReplica(f, c) })
+		m.wg.Go(func() { m.followReplica(endpoint, c) })
 	}
 	return nil
 }
 
 // followReplica polls the processes of a replica of the registry, which faults of other kinds end and start.
-func (m *Network) followReplica(f *Endpoint, c *cluster.Replica) {
+func (m *Network) followReplica(endpoint *Endpoint, c *cluster.Replica) {
 	var last *process.Child
 	for m.ctx.Err() == nil {
 		p := c.Process()
@@ -390,17 +390,17 @@
 			continue
 		}
 		m.mu.Lock()
-		dead := f.down
+		down := endpoint.down
 		m.mu.Unlock()
-		if last = p; dead {
+		if last = p; down {
 			var err error
-			if f, err = m.Prepare(f.party); err != nil {
+			if endpoint, err = m.Prepare(endpoint.party); err != nil {
 				m.run.Fail(err)
 				return
 			}
 		}
-		m.SetProcess(f, p)
-		m.pollProcess(f, p, c.Address)
+		m.SetProcess(endpoint, p)
+		m.pollProcess(endpoint, p, c.Address)
 	}
 }
 
--- a/internal/lab/members/poller.go
+++ b/internal/lab/members/poller.go
@@ -19,11 +19,11 @@
 const (
 	pollInterval   = 100 * time.Millisecond // between two polls of a process
 	pollTimeout    = 3 * time.Second        // a process that is frozen gives no answer
-	maxAnswerBytes = 16 << 20               // 16 MB
+	maxResponseBytes = 16 << 20               // 16 MB
 )
 
-// membersAnswer is what the lab reads of an answer. It is lenient, so that the invariants judge and not the decoder.
-type membersAnswer struct {
+// membersResponse is what the lab reads of an answer. It is lenient, so that the invariants judge and not the decoder.
+type membersResponse struct {
 	Self struct {
 		Name  string `json:"name"`
 		Start int64  `json:"start"`
@@ -56,12 +56,12 @@
 }
 
 // FollowProcess polls the process of a sidecar that serves from now on.
-func (m *Network) FollowProcess(f *Endpoint, c *process.Child, ready string) error {
+func (m *Network) FollowProcess(endpoint *Endpoint, c *process.Child, ready string) error {
 	addr, err := managementAddr(ready)
 	if err != nil {
 		return err
 	}
-	m.wg.Go(func() { m.pollProcess(f, c, addr) })
+	m.wg.Go(func() { m.pollProcess(endpoint, c, addr) })
 	return nil
 }
 
@@ -81,34 +81,34 @@
 }
 
 // pollProcess asks a process for its view of the fleet, until it ends or the run does.
-func (m *Network) pollProcess(f *Endpoint, c *process.Child, addr string) {
+func (m *Network) pollProcess(endpoint *Endpoint, c *process.Child, addr string) {
 	m.mu.Lock()
 	m.lastSerial++
 	serial := m.lastSerial
 	m.serials[c] = serial
 	m.mu.Unlock()
-	m.record(f.party, serial, invariant.MemberServes)
+	m.record(endpoint.party, serial, invariant.MemberServes)
 	ctx, cancel := context.WithCancel(m.ctx)
 	defer cancel()
 	m.wg.Go(func() {
 		select {
 		case <-c.Ended():
-			m.record(f.party, serial, invariant.MemberEnded)
-			m.ProcessEnded(f, c)
+			m.record(endpoint.party, serial, invariant.MemberEnded)
+			m.ProcessEnded(endpoint, c)
 			cancel()
 		case <-ctx.Done():
 		}
 	})
-	w := &poller{network: m, party: f.party, serial: serial, url: "http://" + addr + "/members",
+	memberPoller := &poller{network: m, party: endpoint.party, serial: serial, url: "http://" + addr + "/members",
 		statuses: map[memberID]string{}}
 	transport := &http.Transport{MaxIdleConnsPerHost: 1}
 	defer transport.CloseIdleConnections()
-	w.client = &http.Client{Transport: transport, Timeout: pollTimeout}
+	memberPoller.client = &http.Client{Transport: transport, Timeout: pollTimeout}
 	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
-		if err := w.poll(ctx); err != nil && ctx.Err() == nil {
-			m.run.Log.Debug("lab: a member does not answer", "member", f.party, "err", err)
+		if err := memberPoller.poll(ctx); err != nil && ctx.Err() == nil {
+			m.run.Log.Debug("lab: a member does not answer", "member", endpoint.party, "err", err)
 		}
 		select {
 		case <-t.C:
@@ -134,19 +134,19 @@
 }
 
 // poll asks once and records the answer.
-func (w *poller) poll(ctx context.Context) error {
-	called := w.network.run.Events.Now()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, w.url, nil)
+func (p *poller) poll(ctx context.Context) error {
+	called := p.network.run.Events.Now()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.url, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := w.client.Do(req)
+	resp, err := p.client.Do(req)
 	if err != nil {
 		return err
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	resp.Body.Close()
-	var got membersAnswer
+	var got membersResponse
 	switch {
 	case err != nil:
 		return err
@@ -156,41 +156,41 @@
 	if err := json.Unmarshal(text, &got); err != nil {
 		return err
 	}
-	w.record(called, w.network.run.Events.Now(), &got)
+	p.record(called, p.network.run.Events.Now(), &got)
 	return nil
 }
 
 // record records an answer, and the members whose status is another than in the answer before.
-func (w *poller) record(called, back time.Duration, got *membersAnswer) {
-	e := record.Event{T: back, Kind: record.MembershipStatus, Sidecar: int32(w.party), Sum: w.serial,
-		Want: uint64(back - called), N: got.Self.Start, Status: int32(got.View.Known), Attempt: int16(got.View.Reachable), Work: got.EstimatedSize,
+func (p *poller) record(called, answered time.Duration, got *membersResponse) {
+	event := record.Event{T: answered, Kind: record.MembershipStatus, Sidecar: int32(p.party), Sum: p.serial,
+		Want: uint64(answered - called), N: got.Self.Start, Status: int32(got.View.Known), Attempt: int16(got.View.Reachable), Work: got.EstimatedSize,
 		Canary: got.View.Admitted, Rev: got.Changes, Server: int32(len(got.Members))}
 	if got.View.Forced {
-		e.Class = 1
+		event.Class = 1
 	}
 	self := memberID{got.Self.Name, got.Self.Start}
 	for _, v := range got.Members {
 		if (memberID{v.Name, v.Start}) == self && v.State == invariant.Gone && v.Proof == invariant.MemberLeft {
-			e.Note = invariant.MemberLeft
+			event.Note = invariant.MemberLeft
 		}
 	}
-	w.network.run.Events.Add(e)
-	one := record.Event{T: back, Kind: record.MemberStatus, Sidecar: int32(w.party), Server: record.None,
-		Class: record.None, Sum: w.serial, Want: e.Want}
-	said := make(map[memberID]string, len(got.Members))
+	p.network.run.Events.Add(event)
+	statusEvent := record.Event{T: answered, Kind: record.MemberStatus, Sidecar: int32(p.party), Server: record.None,
+		Class: record.None, Sum: p.serial, Want: event.Want}
+	statuses := make(map[memberID]string, len(got.Members))
 	for _, v := range got.Members {
 		key := memberID{v.Name, v.Start}
-		said[key] = strings.TrimSpace(v.State + " " + v.Name + " " + v.Proof)
-		if said[key] != w.statuses[key] {
-			one.N, one.Note = v.Start, said[key]
-			w.network.run.Events.Add(one)
+		statuses[key] = strings.TrimSpace(v.State + " " + v.Name + " " + v.Proof)
+		if statuses[key] != p.statuses[key] {
+			statusEvent.N, statusEvent.Note = v.Start, statuses[key]
+			p.network.run.Events.Add(statusEvent)
 		}
 	}
-	for key := range w.statuses {
-		if _, ok := said[key]; !ok {
-			one.N, one.Note = key.start, invariant.Absent+" "+key.name
-			w.network.run.Events.Add(one)
+	for key := range p.statuses {
+		if _, ok := statuses[key]; !ok {
+			statusEvent.N, statusEvent.Note = key.start, invariant.Absent+" "+key.name
+			p.network.run.Events.Add(statusEvent)
 		}
 	}
-	w.statuses = said
+	p.statuses = statuses
 }
--- a/internal/lab/members/result.go
+++ b/internal/lab/members/result.go
@@ -16,7 +16,7 @@
 type processHistory struct {
 	party                 int32
 	served, leaves, ended time.Duration
-	answers               []record.Event
+	responses               []record.Event
 	statuses              map[memberID][]status
 }
 
@@ -38,24 +38,24 @@
 // Facts are what the invariants hold the run against.
 func (m *Network) Facts() *invariant.Members {
 	p, s := m.run.Plan, m.run.Scenario
-	f := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.PeerCount()}
+	facts := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.PeerCount()}
 	for i := range p.Sidecars {
-		f.Names = append(f.Names, p.Sidecars[i].Name)
+		facts.Names = append(facts.Names, p.Sidecars[i].Name)
 		if !s.InMembership(i) {
-			f.WithoutMembership++
+			facts.WithoutMembership++
 		}
 	}
 	if m.registry != nil {
 		for _, c := range m.registry.Replicas {
-			f.Names = append(f.Names, c.Name)
+			facts.Names = append(facts.Names, c.Name)
 		}
 	}
 	for i := range p.Faults {
 		if one := &p.Faults[i]; one.Fault.Kind == "members-refuse" {
-			f.FalseRefusals = append(f.FalseRefusals, invariant.Span{From: one.At, To: one.Until + falseProofRecovery})
+			facts.FalseRefusals = append(facts.FalseRefusals, invariant.Span{From: one.At, To: one.Until + falseProofRecovery})
 		}
 	}
-	return f
+	return facts
 }
 
 // falseProofRecovery is how long after a false refusal a process that was counted out may take to be counted again.
@@ -64,16 +64,16 @@
 // Result reads what the members knew of each other from the events of a run, by time.
 func Result(events []record.Event, facts *invariant.Members) *report.MembersResult {
 	r := &resultReader{facts: facts, out: &report.MembersResult{AgreeMS: -1}}
-	r.read(events)
+	r.readEvents(events)
 	for _, one := range invariant.QuotaMoments(events, facts) {
 		if one.Sum > r.out.MaxQuotaSum {
 			r.out.MaxQuotaSum, r.out.MaxQuotaSumAt = one.Sum, one.At.Seconds()
 		}
 	}
 	for _, p := range r.processes {
-		r.countDeath(p)
+		r.measureEnd(p)
 		r.countFalseSuspicions(p, events)
-		r.countJoining(p)
+		r.measureJoining(p)
 	}
 	r.findAgreement()
 	for _, t := range []*report.Times{&r.out.Noticed, &r.out.CountedOut, &r.out.Left, &r.out.Admitted} {
@@ -82,18 +82,18 @@
 	return r.out
 }
 
-func (r *resultReader) read(events []record.Event) {
-	by := map[uint64]*processHistory{}
+func (r *resultReader) readEvents(events []record.Event) {
+	bySerial := map[uint64]*processHistory{}
 	for i := range events {
 		e := &events[i]
-		p := by[e.Sum]
+		p := bySerial[e.Sum]
 		switch e.Kind {
 		case record.MemberProcess:
 			r.lastChange = max(r.lastChange, e.T)
 			switch {
 			case e.Note == invariant.MemberServes:
 				p = &processHistory{party: e.Sidecar, served: e.T, leaves: never, ended: never, statuses: map[memberID][]status{}}
-				by[e.Sum], r.processes = p, append(r.processes, p)
+				bySerial[e.Sum], r.processes = p, append(r.processes, p)
 			case p == nil:
 			case e.Note == invariant.MemberLeaves:
 				p.leaves = e.T
@@ -104,12 +104,12 @@
 			if p == nil {
 				continue
 			}
-			if n := len(p.answers); n > 0 {
-				if was := p.answers[n-1]; was.Status != e.Status || was.Attempt != e.Attempt || was.Canary != e.Canary {
+			if n := len(p.responses); n > 0 {
+				if was := p.responses[n-1]; was.Status != e.Status || was.Attempt != e.Attempt || was.Canary != e.Canary {
 					r.out.Changes++
 				}
 			}
-			p.answers = append(p.answers, *e)
+			p.responses = append(p.responses, *e)
 			r.out.Answers++
 		case record.MemberStatus:
 			if p == nil {
@@ -134,16 +134,16 @@
 
 func (r *resultReader) name(p *processHistory) string { return r.facts.Names[p.party] }
 
-// id is the last that a process called itself.
-func (r *resultReader) id(p *processHistory) (memberID, bool) {
-	if len(p.answers) == 0 {
+// lastID is the last that a process called itself.
+func (r *resultReader) lastID(p *processHistory) (memberID, bool) {
+	if len(p.responses) == 0 {
 		return memberID{}, false
 	}
-	return memberID{r.name(p), p.answers[len(p.answers)-1].N}, true
+	return memberID{r.name(p), p.responses[len(p.responses)-1].N}, true
 }
 
-// until is how long after a time a process first said one of some standings of a member.
-func (p *processHistory) until(id memberID, from time.Duration, states ...string) (time.Duration, bool) {
+// timeToState is how long after a time a process first said one of some standings of a member.
+func (p *processHistory) timeToState(id memberID, from time.Duration, states ...string) (time.Duration, bool) {
 	for i, s := range p.statuses[id] {
 		later := never // until then it stands so
 		if i+1 < len(p.statuses[id]) {
@@ -157,8 +157,8 @@
 }
 
 // death measures how the end of a process became known to the others.
-func (r *resultReader) countDeath(p *processHistory) {
-	id, ok := r.id(p)
+func (r *resultReader) measureEnd(p *processHistory) {
+	id, ok := r.lastID(p)
 	if !ok || p.ended == never {
 		return
 	}
@@ -171,7 +171,7 @@
 			continue
 		}
 		add := func(t *report.Times, from time.Duration, states ...string) {
-			d, ok := q.until(id, from, states...)
+			d, ok := q.timeToState(id, from, states...)
 			if !ok && (q.ended != never || q.leaves != never) {
 				return // it did not live to see it
 			}
@@ -199,12 +199,12 @@
 			if id.name != r.name(p) {
 				continue
 			}
-			i := slices.IndexFunc(p.answers, func(e record.Event) bool { return e.N == id.start })
+			i := slices.IndexFunc(p.responses, func(e record.Event) bool { return e.N == id.start })
 			if i < 0 {
 				continue // of another process of its name
 			}
-			last := p.answers[i].T
-			for _, e := range p.answers[i:] {
+			last := p.responses[i].T
+			for _, e := range p.responses[i:] {
 				if e.N == id.start {
 					last = e.T - time.Duration(e.Want)
 				}
@@ -215,7 +215,7 @@
 				case s.state == invariant.Gone:
 					r.out.FalseGone++
 				case s.state == invariant.Silent:
-					if r.out.FalseSilent++; !r.explained(events, p, q, s.at) {
+					if r.out.FalseSilent++; !r.explainedByFault(events, p, q, s.at) {
 						r.out.FalseDeaths++
 						r.out.FalseOnes = append(r.out.FalseOnes, fmt.Sprintf("%s of %s at %.1f s", r.name(q), id.name, s.at.Seconds()))
 					}
@@ -232,9 +232,9 @@
 	})
 }
 
-// explained tells whether a fault explains that one process got no message of another: one was frozen, or links were cut.
-func (r *resultReader) explained(events []record.Event, p, q *processHistory, at time.Duration) bool {
-	on := map[string]time.Duration{} // what is there, and when it ended
+// explainedByFault tells whether a fault explains that one process got no message of another: one was frozen, or links were cut.
+func (r *resultReader) explainedByFault(events []record.Event, p, q *processHistory, at time.Duration) bool {
+	faultEnds := map[string]time.Duration{} // what is there, and when it ended
 	for i := range events {
 		e := &events[i]
 		if e.T > at {
@@ -244,18 +244,18 @@
 		case e.Kind == record.Process && (e.Sidecar == p.party || e.Sidecar == q.party):
 			key := fmt.Sprint("frozen ", e.Sidecar)
 			if e.Note == invariant.Frozen {
-				on[key] = never
-			} else if on[key] == never { // it goes on, or it is killed
-				on[key] = e.T
+				faultEnds[key] = never
+			} else if faultEnds[key] == never { // it goes on, or it is killed
+				faultEnds[key] = e.T
 			}
 		case e.Kind == record.Fault && blocksMessages(e.Note):
 			key, ends := strings.CutSuffix(e.Note, " ends")
-			if on[key] = never; ends {
-				on[key] = e.T
+			if faultEnds[key] = never; ends {
+				faultEnds[key] = e.T
 			}
 		}
 	}
-	for _, over := range on {
+	for _, over := range faultEnds {
 		if over == never || over > at-causeWindow {
 			return true
 		}
@@ -263,19 +263,19 @@
 	return false
 }
 
-// countJoining measures how long a process that came during the run waited until it was admitted.
-func (r *resultReader) countJoining(p *processHistory) {
-	if slices.ContainsFunc(p.answers, func(e record.Event) bool { return e.Class == 1 }) {
+// measureJoining measures how long a process that came during the run waited until it was admitted.
+func (r *resultReader) measureJoining(p *processHistory) {
+	if slices.ContainsFunc(p.responses, func(e record.Event) bool { return e.Class == 1 }) {
 		r.out.Forced++
 	}
 	if p.served <= pollInterval || int(p.party) >= r.facts.Sidecars {
 		return
 	}
 	r.out.JoiningMembers++
-	i := slices.IndexFunc(p.answers, func(e record.Event) bool { return e.Canary })
+	i := slices.IndexFunc(p.responses, func(e record.Event) bool { return e.Canary })
 	switch {
 	case i >= 0:
-		r.out.Admitted.Add(max(p.answers[i].T-p.served, 0), true)
+		r.out.Admitted.Add(max(p.responses[i].T-p.served, 0), true)
 	case p.ended == never:
 		r.out.Admitted.Add(0, false)
 	}
@@ -286,7 +286,7 @@
 	var living []*processHistory
 	sidecars := 0 // that live; the replicas of the registry are members that are not counted
 	for _, p := range r.processes {
-		if p.ended == never && p.leaves == never && len(p.answers) > 0 {
+		if p.ended == never && p.leaves == never && len(p.responses) > 0 {
 			living = append(living, p)
 			if int(p.party) < r.facts.Sidecars {
 				sidecars++
@@ -294,7 +294,7 @@
 		}
 	}
 	for i, p := range living {
-		last := p.answers[len(p.answers)-1]
+		last := p.responses[len(p.responses)-1]
 		known, reachable := int(last.Status), int(last.Attempt)
 		if i == 0 {
 			r.out.Known, r.out.Reachable = [2]int{known, known}, [2]int{reachable, reachable}
@@ -306,17 +306,17 @@
 		of int
 		e  *record.Event
 	}
-	var since []answer
+	var settled []answer
 	for i, p := range living {
-		for k := range p.answers {
-			if e := &p.answers[k]; e.T-time.Duration(e.Want) >= r.lastChange {
-				since = append(since, answer{i, e})
+		for k := range p.responses {
+			if e := &p.responses[k]; e.T-time.Duration(e.Want) >= r.lastChange {
+				settled = append(settled, answer{i, e})
 			}
 		}
 	}
-	slices.SortFunc(since, func(a, b answer) int { return cmp.Compare(a.e.T, b.e.T) })
+	slices.SortFunc(settled, func(a, b answer) int { return cmp.Compare(a.e.T, b.e.T) })
 	newest := map[int]*record.Event{}
-	for _, a := range since {
+	for _, a := range settled {
 		newest[a.of] = a.e
 		if len(newest) < len(living) {
 			continue
--- a/internal/lab/rollouts/driver.go
+++ b/internal/lab/rollouts/driver.go
@@ -40,9 +40,9 @@
 	revisions    map[int64]bool     // of all tables that were published
 	postedAfter  []int64            // by rollout: see invariant.Rollout; -1: it was not posted
 	rejections   []string           // by rollout, why it was not taken; empty: it was
-	views        []rolloutView      // by rollout, the newest
+	rolloutViews        []rolloutView      // by rollout, the newest
 	finalPhases  []string           // by rollout, the phase as the leader has it at the end
-	answers      []invariant.Answer // of the audit
+	auditAnswers      []invariant.Answer // of the audit
 	auditQueries int                // that were answered
 	failures     []string
 	stalls       []invariant.Span
@@ -54,89 +54,89 @@
 // New is a driver for a run that begins now.
 func New(r *harness.Run, registry *cluster.Cluster) *Driver {
 	n := len(r.Scenario.Rollouts)
-	o := &Driver{run: r, registry: registry, epoch: time.Now().Add(-r.Elapsed()), revisions: map[int64]bool{}, postedAfter: make([]int64, n),
-		rejections: make([]string, n), views: make([]rolloutView, n), finalPhases: make([]string, n)}
-	for i := range o.postedAfter {
-		o.postedAfter[i] = -1
+	driver := &Driver{run: r, registry: registry, epoch: time.Now().Add(-r.Elapsed()), revisions: map[int64]bool{}, postedAfter: make([]int64, n),
+		rejections: make([]string, n), rolloutViews: make([]rolloutView, n), finalPhases: make([]string, n)}
+	for i := range driver.postedAfter {
+		driver.postedAfter[i] = -1
 	}
-	return o
+	return driver
 }
 
 // pollInterval is the time between two polls of the rollouts of a tenant.
 const pollInterval = 50 * time.Millisecond
 
 // Drive posts the rollouts, orders and audit queries of the scenario, until ctx ends.
-func (o *Driver) Drive(ctx context.Context) {
-	o.wg.Go(func() { o.recordStalls(ctx) })
-	for _, c := range o.registry.Replicas {
-		o.wg.Go(func() { o.watchTables(ctx, c) })
+func (d *Driver) Drive(ctx context.Context) {
+	d.wg.Go(func() { d.recordStalls(ctx) })
+	for _, c := range d.registry.Replicas {
+		d.wg.Go(func() { d.watchReplica(ctx, c) })
 	}
 	tenants := map[string]bool{}
-	for i := range o.run.Scenario.Rollouts {
-		post := &o.run.Scenario.Rollouts[i]
-		o.wg.Go(func() { o.postRollout(ctx, i, post) })
+	for i := range d.run.Scenario.Rollouts {
+		post := &d.run.Scenario.Rollouts[i]
+		d.wg.Go(func() { d.postRollout(ctx, i, post) })
 		if !tenants[post.Tenant] {
 			tenants[post.Tenant] = true
-			o.wg.Go(func() { o.pollTenant(ctx, post.Tenant) })
+			d.wg.Go(func() { d.pollTenant(ctx, post.Tenant) })
 		}
 	}
-	for i := range o.run.Scenario.RouteCommands {
-		o.wg.Go(func() { o.sendOrder(ctx, &o.run.Scenario.RouteCommands[i]) })
+	for i := range d.run.Scenario.RouteCommands {
+		d.wg.Go(func() { d.sendCommand(ctx, &d.run.Scenario.RouteCommands[i]) })
 	}
-	for _, a := range o.run.Scenario.AuditQueries {
-		o.wg.Go(func() {
-			if !o.sleepUntil(ctx, a.At) {
+	for _, a := range d.run.Scenario.AuditQueries {
+		d.wg.Go(func() {
+			if !d.sleepUntil(ctx, a.At) {
 				return
 			}
-			o.mu.Lock()
-			newest := o.newestRev
-			o.mu.Unlock()
-			now := o.run.Elapsed()
-			o.queryAudit(ctx, newest, now-a.Window.Duration(), now)
+			d.mu.Lock()
+			newest := d.newestRev
+			d.mu.Unlock()
+			now := d.run.Elapsed()
+			d.queryAudit(ctx, newest, now-a.Window.Duration(), now)
 		})
 	}
-	o.wg.Wait()
+	d.wg.Wait()
 }
 
 // maxTimerLag is how late a timer of the lab may be before it is recorded as a stall.
 const maxTimerLag = 20 * time.Millisecond
 
 // recordStalls records when the timers of the lab were late, until ctx ends.
-func (o *Driver) recordStalls(ctx context.Context) {
+func (d *Driver) recordStalls(ctx context.Context) {
 	const every = 5 * time.Millisecond
 	for {
-		due := o.run.Events.Now() + every
+		due := d.run.Events.Now() + every
 		if !harness.Sleep(ctx, every) {
 			return
 		}
-		if now := o.run.Events.Now(); now > due+maxTimerLag {
-			o.mu.Lock()
-			o.stalls = append(o.stalls, invariant.Span{From: due - o.run.StartedAt, To: now - o.run.StartedAt + maxTimerLag})
-			o.mu.Unlock()
+		if now := d.run.Events.Now(); now > due+maxTimerLag {
+			d.mu.Lock()
+			d.stalls = append(d.stalls, invariant.Span{From: due - d.run.StartedAt, To: now - d.run.StartedAt + maxTimerLag})
+			d.mu.Unlock()
 		}
 	}
 }
 
-func (o *Driver) sleepUntil(ctx context.Context, at scenario.Duration) bool {
-	return harness.Sleep(ctx, at.Duration()-o.run.Elapsed())
+func (d *Driver) sleepUntil(ctx context.Context, at scenario.Duration) bool {
+	return harness.Sleep(ctx, at.Duration()-d.run.Elapsed())
 }
 
-func (o *Driver) fail(format string, args ...any) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.failures = append(o.failures, fmt.Sprintf(format, args...))
+func (d *Driver) fail(format string, args ...any) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.failures = append(d.failures, fmt.Sprintf(format, args...))
 }
 
-// watchTables watches the tables of a replica, and records each.
-func (o *Driver) watchTables(ctx context.Context, c *cluster.Replica) {
+// watchReplica watches the tables of a replica, and records each.
+func (d *Driver) watchReplica(ctx context.Context, c *cluster.Replica) {
 	after := int64(0)
 	for ctx.Err() == nil {
-		o.watchReplica(ctx, c, &after)
+		d.watchOnce(ctx, c, &after)
 		harness.Sleep(ctx, pollInterval)
 	}
 }
 
-func (o *Driver) watchReplica(ctx context.Context, c *cluster.Replica, after *int64) {
+func (d *Driver) watchOnce(ctx context.Context, c *cluster.Replica, after *int64) {
 	url := fmt.Sprintf("http://%s%s?watch=1&schema=%d&after=%d", c.Address, route.TablePath, route.Newest, *after)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -156,13 +156,13 @@
 			return
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
-			*after = max(*after, o.recordTable(c.Number, line))
+			*after = max(*after, d.recordTable(c.Number, line))
 		}
 	}
 }
 
-// table is what the lab reads of a routing table. It is lenient, so that the invariants judge and not the decoder.
-type table struct {
+// routeTable is what the lab reads of a routing routeTable. It is lenient, so that the invariants judge and not the decoder.
+type routeTable struct {
 	Rev    int64 `json:"rev"`
 	Closed int64 `json:"closed"`
 	Routes []struct {
@@ -174,42 +174,42 @@
 }
 
 // recordTable records a table.
-func (o *Driver) recordTable(replica int, line []byte) int64 {
-	var t table
+func (d *Driver) recordTable(replica int, line []byte) int64 {
+	var t routeTable
 	if json.Unmarshal(line, &t) != nil {
 		return 0
 	}
-	e := record.Event{T: o.run.Events.Now(), Sidecar: record.None, Server: int32(replica), Class: record.None, Rev: t.Rev}
+	e := record.Event{T: d.run.Events.Now(), Sidecar: record.None, Server: int32(replica), Class: record.None, Rev: t.Rev}
 	e.Kind = record.RoutesObserved
-	o.run.Events.Add(e)
-	o.recordClosed(replica, t.Closed)
+	d.run.Events.Add(e)
+	d.recordClosed(replica, t.Closed)
 	for _, one := range t.Routes {
-		if n := o.rolloutIndex(one.Tenant, rollout.RolloutName(one.Rollout)); n >= 0 {
+		if n := d.rolloutIndex(one.Tenant, rollout.RolloutName(one.Rollout)); n >= 0 {
 			e.Kind, e.Status, e.Work, e.Attempt = record.RolloutFraction, int32(n), one.Fraction, int16(one.Step)
-			o.run.Events.Add(e)
+			d.run.Events.Add(e)
 		}
 	}
-	o.mu.Lock()
-	o.newestRev = max(o.newestRev, t.Rev)
-	o.revisions[t.Rev] = true
-	o.mu.Unlock()
+	d.mu.Lock()
+	d.newestRev = max(d.newestRev, t.Rev)
+	d.revisions[t.Rev] = true
+	d.mu.Unlock()
 	return t.Rev
 }
 
 // recordClosed records that a replica called a revision closed.
-func (o *Driver) recordClosed(replica int, rev int64) {
-	o.mu.Lock()
-	isNew := rev > o.newestClosed
-	o.newestClosed = max(o.newestClosed, rev)
-	o.mu.Unlock()
+func (d *Driver) recordClosed(replica int, rev int64) {
+	d.mu.Lock()
+	isNew := rev > d.newestClosed
+	d.newestClosed = max(d.newestClosed, rev)
+	d.mu.Unlock()
 	if isNew {
-		o.run.Events.Add(record.Event{Kind: record.RevisionClosed, Sidecar: record.None, Server: int32(replica), Class: record.None, Rev: rev})
+		d.run.Events.Add(record.Event{Kind: record.RevisionClosed, Sidecar: record.None, Server: int32(replica), Class: record.None, Rev: rev})
 	}
 }
 
 // rolloutIndex is the index of a rollout in the scenario; -1: it has none.
-func (o *Driver) rolloutIndex(tenant, name string) int {
-	return slices.IndexFunc(o.run.Scenario.Rollouts, func(p scenario.Rollout) bool { return p.Tenant == tenant && p.Name == name })
+func (d *Driver) rolloutIndex(tenant, name string) int {
+	return slices.IndexFunc(d.run.Scenario.Rollouts, func(p scenario.Rollout) bool { return p.Tenant == tenant && p.Name == name })
 }
 
 // Request is a rollout as it is posted.
@@ -223,19 +223,19 @@
 }
 
 // call calls each replica in turn until one answers. A rejection is an answer.
-func (o *Driver) call(ctx context.Context, method, path string, body any) (code int, text []byte) {
+func (d *Driver) call(ctx context.Context, method, path string, body any) (code int, text []byte) {
 	data, err := json.Marshal(body)
 	if err != nil || body == nil {
 		data = nil
 	}
 	for {
-		all := o.registry.Replicas
-		c := all[int(o.nextReplica.Add(1))%len(all)]
+		all := d.registry.Replicas
+		c := all[int(d.nextReplica.Add(1))%len(all)]
 		code, text, err = cluster.Call(ctx, method, c.URL(path), data)
 		if err == nil && code < 500 && code != http.StatusTooManyRequests {
 			return code, text
 		}
-		o.run.Log.Debug("lab: call of the routes failed", "path", path, "code", code, "answer", string(text), "err", err)
+		d.run.Log.Debug("lab: call of the routes failed", "path", path, "code", code, "answer", string(text), "err", err)
 		if !harness.Sleep(ctx, pollInterval) {
 			return 0, nil
 		}
@@ -243,54 +243,54 @@
 }
 
 // postRollout posts a rollout at its time.
-func (o *Driver) postRollout(ctx context.Context, n int, p *scenario.Rollout) {
-	if !o.sleepUntil(ctx, p.At) {
+func (d *Driver) postRollout(ctx context.Context, n int, p *scenario.Rollout) {
+	if !d.sleepUntil(ctx, p.At) {
 		return
 	}
 	body := Request{To: p.Subset, Classes: p.Classes, Budget: p.Budget, Late: p.CountLate, AtEnd: p.AtEnd}
 	for _, st := range p.Steps {
 		body.Steps = append(body.Steps, rollout.Step{CanaryFraction: st.Fraction, HoldMS: st.Hold.Duration().Milliseconds(), MinAttempts: st.MinRequests})
 	}
-	o.mu.Lock()
-	o.postedAfter[n] = o.newestRev
-	o.mu.Unlock()
+	d.mu.Lock()
+	d.postedAfter[n] = d.newestRev
+	d.mu.Unlock()
 	path := "/routes/" + p.Tenant + "/rollouts/" + p.Name
 	times := 1
 	if p.PostTwice {
 		times = 2
 	}
 	for range times {
-		code, text := o.call(ctx, http.MethodPost, path, body)
+		code, text := d.call(ctx, http.MethodPost, path, body)
 		if code == 0 {
 			return
 		}
 		if code != http.StatusOK {
-			o.mu.Lock()
-			o.rejections[n], o.postedAfter[n] = fmt.Sprintf("%d %s", code, strings.TrimSpace(string(text))), -1
-			o.mu.Unlock()
+			d.mu.Lock()
+			d.rejections[n], d.postedAfter[n] = fmt.Sprintf("%d %s", code, strings.TrimSpace(string(text))), -1
+			d.mu.Unlock()
 			return
 		}
 	}
 }
 
-// sendOrder sends an order of a tenant or operator at its time.
-func (o *Driver) sendOrder(ctx context.Context, d *scenario.RouteCommand) {
-	if !o.sleepUntil(ctx, d.At) {
+// sendCommand sends an order of a tenant or operator at its time.
+func (d *Driver) sendCommand(ctx context.Context, command *scenario.RouteCommand) {
+	if !d.sleepUntil(ctx, command.At) {
 		return
 	}
 	path, body := "", any(nil)
-	switch d.Action {
+	switch command.Action {
 	case "base":
-		path, body = "/routes/"+d.Tenant+"/base", map[string]string{"to": d.Subset}
+		path, body = "/routes/"+command.Tenant+"/base", map[string]string{"to": command.Subset}
 	case "schema":
-		path, body = "/routes/schema", map[string]int{"least": d.MinSchema}
+		path, body = "/routes/schema", map[string]int{"least": command.MinSchema}
 	default:
-		i := slices.IndexFunc(o.run.Scenario.Rollouts, func(p scenario.Rollout) bool { return p.Name == d.Rollout })
-		path = "/routes/" + o.run.Scenario.Rollouts[i].Tenant + "/rollouts/" + d.Rollout + "/" + d.Action
+		i := slices.IndexFunc(d.run.Scenario.Rollouts, func(p scenario.Rollout) bool { return p.Name == command.Rollout })
+		path = "/routes/" + d.run.Scenario.Rollouts[i].Tenant + "/rollouts/" + command.Rollout + "/" + command.Action
 	}
-	code, text := o.call(ctx, http.MethodPost, path, body)
-	if code != 0 && (code != http.StatusOK) != d.ExpectRejected {
-		o.fail("the order %s at %v is answered %d %s", d.Action, d.At.Duration(), code, strings.TrimSpace(string(text)))
+	code, text := d.call(ctx, http.MethodPost, path, body)
+	if code != 0 && (code != http.StatusOK) != command.ExpectRejected {
+		d.fail("the order %s at %v is answered %d %s", command.Action, command.At.Duration(), code, strings.TrimSpace(string(text)))
 	}
 }
 
@@ -312,46 +312,46 @@
 }
 
 // pollTenant polls the rollouts of a tenant at each replica in turn, and records changes.
-func (o *Driver) pollTenant(ctx context.Context, tenant string) {
+func (d *Driver) pollTenant(ctx context.Context, tenant string) {
 	for i := 0; harness.Sleep(ctx, pollInterval); i++ {
-		c := o.registry.Replicas[i%len(o.registry.Replicas)]
+		c := d.registry.Replicas[i%len(d.registry.Replicas)]
 		code, text, err := cluster.Call(ctx, http.MethodGet, c.URL("/routes/"+tenant), nil)
 		if err == nil && code == http.StatusOK {
-			o.recordTenant(c.Number, tenant, text)
+			d.recordTenant(c.Number, tenant, text)
 		}
 	}
 }
 
 // recordTenant records the rollouts of a tenant as a replica answered them.
-func (o *Driver) recordTenant(replica int, tenant string, text []byte) {
+func (d *Driver) recordTenant(replica int, tenant string, text []byte) {
 	var t tenantView
 	if err := json.Unmarshal(text, &t); err != nil {
-		o.fail("the routes of %s cannot be read: %v", tenant, err)
+		d.fail("the routes of %s cannot be read: %v", tenant, err)
 		return
 	}
-	o.recordClosed(replica, t.Closed)
+	d.recordClosed(replica, t.Closed)
 	for _, one := range t.Rollouts {
-		n := o.rolloutIndex(tenant, one.Name)
+		n := d.rolloutIndex(tenant, one.Name)
 		if n < 0 {
 			continue
 		}
-		o.mu.Lock()
-		was := o.views[n]
-		o.views[n] = one
-		o.mu.Unlock()
+		d.mu.Lock()
+		was := d.rolloutViews[n]
+		d.rolloutViews[n] = one
+		d.mu.Unlock()
 		if was.Rev != one.Rev || was.Phase != one.Phase || was.Step != one.Step || one.Left < 0 {
-			o.run.Events.Add(record.Event{Kind: record.RolloutPhase, Sidecar: record.None, Server: int32(replica), Class: record.None,
+			d.run.Events.Add(record.Event{Kind: record.RolloutPhase, Sidecar: record.None, Server: int32(replica), Class: record.None,
 				Rev: one.Rev, Status: int32(n), Attempt: int16(one.Step), N: one.Left, Note: string(one.Phase), Sum: uint64(one.Granted), Want: uint64(one.Spent)})
 		}
 	}
 }
 
 // queryAudit asks the audit who acted on a revision between two times of the run, and keeps the answer.
-func (o *Driver) queryAudit(ctx context.Context, rev int64, from, to time.Duration) {
+func (d *Driver) queryAudit(ctx context.Context, rev int64, from, to time.Duration) {
 	from = max(from, 0)
 	// Whole milliseconds, inwards: the answer is for no more than was asked.
-	fromMS, toMS := o.epoch.Add(from).UnixMilli()+1, o.epoch.Add(to).UnixMilli()
-	code, text := o.call(ctx, http.MethodGet, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, fromMS, toMS), nil)
+	fromMS, toMS := d.epoch.Add(from).UnixMilli()+1, d.epoch.Add(to).UnixMilli()
+	code, text := d.call(ctx, http.MethodGet, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, fromMS, toMS), nil)
 	if code == 0 {
 		return
 	}
@@ -359,15 +359,15 @@
 		Answers []audit.ProcessVerdict `json:"answers"`
 	}
 	if err := json.Unmarshal(text, &got); code != http.StatusOK || err != nil {
-		o.fail("the audit of revision %d is answered %d %s, %v", rev, code, strings.TrimSpace(string(text)), err)
+		d.fail("the audit of revision %d is answered %d %s, %v", rev, code, strings.TrimSpace(string(text)), err)
 		return
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.auditQueries++
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.auditQueries++
 	for _, a := range got.Answers {
-		o.answers = append(o.answers, invariant.Answer{Rev: rev, From: time.UnixMilli(fromMS).Sub(o.epoch), To: time.UnixMilli(toMS).Sub(o.epoch),
-			QueriedAt: o.run.Elapsed(), Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
+		d.auditAnswers = append(d.auditAnswers, invariant.Answer{Rev: rev, From: time.UnixMilli(fromMS).Sub(d.epoch), To: time.UnixMilli(toMS).Sub(d.epoch),
+			QueriedAt: d.run.Elapsed(), Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
 	}
 }
 
@@ -378,25 +378,25 @@
 )
 
 // Collect reads, with the traffic over and the sidecars still running, the final phases and the answers of the audit.
-func (o *Driver) Collect(ctx context.Context) {
+func (d *Driver) Collect(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	harness.Sleep(ctx, time.Second) // the last attempts are in the next report
-	over := o.run.Elapsed()
+	endedAt := d.run.Elapsed()
 	tenants := map[string]bool{}
-	for i := range o.run.Scenario.Rollouts {
-		tenants[o.run.Scenario.Rollouts[i].Tenant] = true
+	for i := range d.run.Scenario.Rollouts {
+		tenants[d.run.Scenario.Rollouts[i].Tenant] = true
 	}
 	for _, tenant := range slices.Sorted(maps.Keys(tenants)) {
-		o.readFinalPhases(ctx, tenant)
+		d.readFinalPhases(ctx, tenant)
 	}
-	if broken := o.run.Scenario.Expect.MustBreak; len(broken) > 0 && !slices.Contains(broken, invariant.AuditTrue) {
+	if broken := d.run.Scenario.Expect.MustBreak; len(broken) > 0 && !slices.Contains(broken, invariant.AuditTrue) {
 		return // what is planted misleads the audit too
 	}
-	o.mu.Lock()
-	revs := slices.Sorted(maps.Keys(o.revisions))
-	o.mu.Unlock()
-	rng := rand.New(rand.NewPCG(o.run.Plan.Seed, 0x6175646974))
+	d.mu.Lock()
+	revs := slices.Sorted(maps.Keys(d.revisions))
+	d.mu.Unlock()
+	rng := rand.New(rand.NewPCG(d.run.Plan.Seed, 0x6175646974))
 	for len(revs) > maxAuditedRevisions {
 		i := rng.IntN(len(revs))
 		revs = slices.Delete(revs, i, i+1)
@@ -405,26 +405,26 @@
 		if rev == 0 {
 			continue
 		}
-		o.queryAudit(ctx, rev, 0, over)
+		d.queryAudit(ctx, rev, 0, endedAt)
 		for range auditWindows {
-			from := time.Duration(rng.Float64() * float64(over))
-			o.queryAudit(ctx, rev, from, from+time.Duration(rng.Float64()*float64(over-from)))
+			from := time.Duration(rng.Float64() * float64(endedAt))
+			d.queryAudit(ctx, rev, from, from+time.Duration(rng.Float64()*float64(endedAt-from)))
 		}
 	}
 }
 
 // readFinalPhases asks the leader for the rollouts of a tenant.
-func (o *Driver) readFinalPhases(ctx context.Context, tenant string) {
+func (d *Driver) readFinalPhases(ctx context.Context, tenant string) {
 	for {
-		if lead := o.registry.Leader(ctx); lead != nil {
-			code, text, err := cluster.Call(ctx, http.MethodGet, lead.URL("/routes/"+tenant), nil)
+		if leader := d.registry.Leader(ctx); leader != nil {
+			code, text, err := cluster.Call(ctx, http.MethodGet, leader.URL("/routes/"+tenant), nil)
 			if err == nil && code == http.StatusOK {
-				o.recordTenant(lead.Number, tenant, text)
+				d.recordTenant(leader.Number, tenant, text)
 				var t tenantView
 				_ = json.Unmarshal(text, &t) // said above
 				for _, one := range t.Rollouts {
-					if n := o.rolloutIndex(tenant, one.Name); n >= 0 {
-						o.finalPhases[n] = string(one.Phase)
+					if n := d.rolloutIndex(tenant, one.Name); n >= 0 {
+						d.finalPhases[n] = string(one.Phase)
 					}
 				}
 				return
@@ -451,24 +451,24 @@
 const faultRecovery = time.Second
 
 // Facts are what the invariants hold the run against.
-func (o *Driver) Facts() *invariant.Routes {
-	p, s := o.run.Plan, o.run.Scenario
-	f := &invariant.Routes{Answers: o.answers, LabStalls: o.stalls, Epoch: o.epoch.UnixNano(),
+func (d *Driver) Facts() *invariant.Routes {
+	p, s := d.run.Plan, d.run.Scenario
+	facts := &invariant.Routes{Answers: d.auditAnswers, LabStalls: d.stalls, Epoch: d.epoch.UnixNano(),
 		Latency: time.Duration(float64(max(s.Network.CrossZone, s.Network.CrossRegion)) * (1 + s.Network.Jitter))}
 	if len(s.Network.Regions) == 0 {
-		f.Latency = time.Duration(float64(max(s.Network.CrossZone, s.Network.SameZone)) * (1 + s.Network.Jitter))
+		facts.Latency = time.Duration(float64(max(s.Network.CrossZone, s.Network.SameZone)) * (1 + s.Network.Jitter))
 	}
 	for i := range p.Sidecars {
-		f.Names = append(f.Names, p.Sidecars[i].Name)
+		facts.Names = append(facts.Names, p.Sidecars[i].Name)
 	}
 	for i := range p.Faults {
 		if one := &p.Faults[i]; delaysTraffic(&one.Fault) {
-			f.LinkFaults = append(f.LinkFaults, invariant.Span{From: one.At, To: one.Until + faultRecovery})
+			facts.LinkFaults = append(facts.LinkFaults, invariant.Span{From: one.At, To: one.Until + faultRecovery})
 		}
 	}
 	for i := range s.Rollouts {
 		one := &s.Rollouts[i]
-		r := invariant.Rollout{Name: one.Name, Budget: one.Budget, After: o.postedAfter[i], Final: o.finalPhases[i],
+		r := invariant.Rollout{Name: one.Name, Budget: one.Budget, After: d.postedAfter[i], Final: d.finalPhases[i],
 			Tenant: slices.IndexFunc(s.Tenants, func(t scenario.Tenant) bool { return t.Name == one.Tenant })}
 		for k := range s.Classes {
 			r.Classes = append(r.Classes, len(one.Classes) == 0 || slices.Contains(one.Classes, s.Classes[k].Name))
@@ -479,15 +479,15 @@
 		for k := range p.Servers {
 			r.Servers = append(r.Servers, p.InSubset(one.Subset, k))
 		}
-		f.Rollouts = append(f.Rollouts, r)
+		facts.Rollouts = append(facts.Rollouts, r)
 	}
-	return f
+	return facts
 }
 
 // RecordSentTable records the closed revision of a table that a sidecar was sent.
-func (o *Driver) RecordSentTable(line []byte) {
-	var t table
+func (d *Driver) RecordSentTable(line []byte) {
+	var t routeTable
 	if json.Unmarshal(line, &t) == nil {
-		o.recordClosed(record.None, t.Closed)
+		d.recordClosed(record.None, t.Closed)
 	}
 }
--- a/internal/lab/rollouts/result.go
+++ b/internal/lab/rollouts/result.go
@@ -14,23 +14,23 @@
 const firstPermissionTime = time.Second
 
 // Result is what became of the rollouts.
-func (o *Driver) Result(all []record.Event, facts *invariant.Routes, v *invariant.Verdict) *report.RoutesResult {
-	out := &report.RoutesResult{AuditAnswers: o.auditQueries, Verdicts: map[string]int{}, Tables: len(o.revisions), Missed: o.failures}
-	for _, a := range o.answers {
+func (d *Driver) Result(all []record.Event, facts *invariant.Routes, v *invariant.Verdict) *report.RoutesResult {
+	out := &report.RoutesResult{AuditAnswers: d.auditQueries, Verdicts: map[string]int{}, Tables: len(d.revisions), Missed: d.failures}
+	for _, a := range d.auditAnswers {
 		out.Verdicts[string(a.Verdict)]++
 	}
-	for i := range o.run.Scenario.Rollouts {
-		p := &o.run.Scenario.Rollouts[i]
-		one := report.RolloutResult{Name: p.Name, Tenant: p.Tenant, End: o.finalPhases[i], Step: o.views[i].Step, Why: o.views[i].Why, Budget: p.Budget, Spent: o.views[i].Spent}
-		if o.rejections[i] != "" {
-			one.End, one.Why = "refused", o.rejections[i]
+	for i := range d.run.Scenario.Rollouts {
+		p := &d.run.Scenario.Rollouts[i]
+		one := report.RolloutResult{Name: p.Name, Tenant: p.Tenant, End: d.finalPhases[i], Step: d.rolloutViews[i].Step, Why: d.rolloutViews[i].Why, Budget: p.Budget, Spent: d.rolloutViews[i].Spent}
+		if d.rejections[i] != "" {
+			one.End, one.Why = "refused", d.rejections[i]
 		}
 		if i < len(v.Failures) {
 			one.Failures = v.Failures[i]
 		}
 		out.Rollouts = append(out.Rollouts, one)
 	}
-	o.countFractions(out, all, facts)
+	d.countFractions(out, all, facts)
 	return out
 }
 
@@ -47,11 +47,11 @@
 	closed    int64
 }
 
-func (o *Driver) countFractions(out *report.RoutesResult, events []record.Event, facts *invariant.Routes) {
-	c := &fractionCount{published: map[int64][]publishedStep{}, running: map[int]invariant.Span{}}
-	c.readTables(events, facts)
-	out.Closed = max(out.Closed, c.closed)
-	out.Held = o.heldFraction(c.running, events)
+func (d *Driver) countFractions(out *report.RoutesResult, events []record.Event, facts *invariant.Routes) {
+	counter := &fractionCount{published: map[int64][]publishedStep{}, running: map[int]invariant.Span{}}
+	counter.readTables(events, facts)
+	out.Closed = max(out.Closed, counter.closed)
+	out.Held = d.heldFraction(counter.running, events)
 	sums := map[publishedStep]*report.StepFraction{}
 	counted := map[uint64]bool{} // requests whose first attempt was counted
 	for i := range events {
@@ -60,11 +60,11 @@
 			continue
 		}
 		counted[e.Request] = true
-		for _, t := range c.published[e.Rev] {
-			if r := &facts.Rollouts[t.rollout]; r.Tenant == int(e.Tenant) && r.Classes[e.Class] {
-				addAttempt(sums, t, e.Canary)
+		for _, step := range counter.published[e.Rev] {
+			if r := &facts.Rollouts[step.rollout]; r.Tenant == int(e.Tenant) && r.Classes[e.Class] {
+				addAttempt(sums, step, e.Canary)
 				if e.Canary {
-					out.Rollouts[t.rollout].Canary++
+					out.Rollouts[step.rollout].Canary++
 				}
 			}
 		}
@@ -118,12 +118,12 @@
 }
 
 // heldFraction is the fraction of attempts without permission while a rollout of their tenant was under way.
-func (o *Driver) heldFraction(running map[int]invariant.Span, events []record.Event) float64 {
+func (d *Driver) heldFraction(running map[int]invariant.Span, events []record.Event) float64 {
 	held, attempts := 0, 0
 	for i := range events {
 		e := &events[i]
 		span, ok := running[int(e.Tenant)]
-		if e.Kind != record.FirstByte || !ok || e.T < span.From || span.To < e.T || o.run.Scenario.RunsOlderProgram(int(e.Sidecar)) {
+		if e.Kind != record.FirstByte || !ok || e.T < span.From || span.To < e.T || d.run.Scenario.RunsOlderProgram(int(e.Sidecar)) {
 			continue
 		}
 		if attempts++; e.Rev == 0 {
--- a/internal/lab/rollouts/rollback_defect.go
+++ b/internal/lab/rollouts/rollback_defect.go
@@ -19,15 +19,15 @@
 }
 
 // Rewrite is the line that the sidecar is sent in place of a line of the registry.
-func (u *RollbackDefect) Rewrite(line []byte) []byte {
+func (d *RollbackDefect) Rewrite(line []byte) []byte {
 	var t map[string]json.RawMessage
 	var routes []json.RawMessage
 	if json.Unmarshal(line, &t) != nil || t["routes"] == nil || json.Unmarshal(t["routes"], &routes) != nil {
 		return line
 	}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	there := map[string]bool{}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	present := map[string]bool{}
 	for i, text := range routes {
 		var one struct {
 			Tenant   string  `json:"tenant"`
@@ -36,20 +36,20 @@
 		if json.Unmarshal(text, &one) != nil {
 			return line
 		}
-		there[one.Tenant] = true
+		present[one.Tenant] = true
 		if one.Fraction > 0 {
-			var free map[string]any // of the budget: the true service grants nothing for it any more
-			if json.Unmarshal(text, &free) != nil {
+			var withoutBudget map[string]any // of the budget: the true service grants nothing for it any more
+			if json.Unmarshal(text, &withoutBudget) != nil {
 				return line
 			}
-			delete(free, "budget")
-			u.lastCanary[one.Tenant], _ = json.Marshal(free) // what was read can be written
-		} else if old := u.lastCanary[one.Tenant]; old != nil {
-			routes[i] = old
+			delete(withoutBudget, "budget")
+			d.lastCanary[one.Tenant], _ = json.Marshal(withoutBudget) // what was read can be written
+		} else if former := d.lastCanary[one.Tenant]; former != nil {
+			routes[i] = former
 		}
 	}
-	for tenant, old := range u.lastCanary {
-		if !there[tenant] {
+	for tenant, old := range d.lastCanary {
+		if !present[tenant] {
 			routes = append(routes, old)
 		}
 	}
