--- a/internal/lab/gossip/gossip_test.go
+++ b/internal/lab/gossip/gossip_test.go
@@ -35,7 +35,7 @@
 	return n, ports[0], ports[1]
 }
 
-// sendAndReceive sends one packet and tells how long it took; -1: it did not come in a minute.
+// sendAndReceive sends one packet and returns its delay, or -1 if it did not arrive within a minute.
 func sendAndReceive(t *testing.T, from, to *Port) time.Duration {
 	sent, err := from.WriteTo([]byte("hello"), to.Addr().String())
 	require.NoError(t, err)
@@ -52,13 +52,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		n, a, b := openPair(t, Rules{Delay: 5 * time.Millisecond, Jitter: time.Millisecond})
 		_, err := n.Open(a.Addr())
-		require.ErrorContains(t, err, "a port is open there")
+		require.ErrorContains(t, err, "address in use")
 		for range 20 {
 			assert.InDelta(t, 5.5, sendAndReceive(t, a, b).Seconds()*1000, 0.5)
 		}
 		n.SetLink(a.Addr(), b.Addr(), Rules{Cut: true})
-		assert.Negative(t, sendAndReceive(t, a, b), "a cut holds")
-		assert.Positive(t, sendAndReceive(t, b, a), "one way only")
+		assert.Negative(t, sendAndReceive(t, a, b), "the direction is cut")
+		assert.Positive(t, sendAndReceive(t, b, a), "the other direction is not cut")
 		n.Heal()
 		for _, part := range []map[netip.AddrPort]int{{a.Addr(): 1}, {b.Addr(): 1}} {
 			n.Partition(part)
@@ -66,7 +66,7 @@
 			assert.Negative(t, sendAndReceive(t, b, a))
 		}
 		n.Partition(map[netip.AddrPort]int{a.Addr(): 1, b.Addr(): 1})
-		assert.Positive(t, sendAndReceive(t, a, b), "both in one part")
+		assert.Positive(t, sendAndReceive(t, a, b), "both in one partition")
 		n.Heal()
 		n.SetHostDown(b.Addr(), true)
 		assert.Negative(t, sendAndReceive(t, a, b))
@@ -77,7 +77,7 @@
 	})
 }
 
-// The same seed loses the same packets; of many as large a share as the rules say.
+// The same seed loses the same packets, and the lost fraction is that of the rules.
 func TestLossIsSeeded(t *testing.T) {
 	lost := func(seed uint64) (out []int) {
 		n := New(seed, Rules{Loss: 0.3})
@@ -111,7 +111,7 @@
 		assert.Equal(t, 20*time.Millisecond, time.Since(started))
 		its := <-b.StreamCh()
 		assert.Equal(t, a.Addr().String(), its.RemoteAddr().String())
-		sent := bytes.Repeat([]byte("x"), 3<<20) // more than the window
+		sent := bytes.Repeat([]byte("x"), 3<<20) // more than maxBufferedBytes
 		go func() {
 			for part := range slices.Chunk(sent, 64<<10) {
 				_, err := mine.Write(part)
@@ -122,7 +122,7 @@
 		n.SetLink(a.Addr(), b.Addr(), Rules{Cut: true})
 		require.NoError(t, its.SetReadDeadline(time.Now().Add(time.Second)))
 		_, err = its.Read(make([]byte, 1))
-		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "held up by the cut")
+		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "blocked by the cut")
 		n.Heal()
 		require.NoError(t, its.SetDeadline(time.Time{}))
 		got, err := io.ReadAll(its)
@@ -142,25 +142,25 @@
 		_, err := dial(Addr(99))
 		require.ErrorIs(t, err, syscall.ECONNREFUSED, "no port listens")
 		var op *net.OpError
-		require.True(t, errors.As(err, &op) && op.Op == "dial", "of the form that memberlist takes for the other's failure")
+		require.True(t, errors.As(err, &op) && op.Op == "dial", "the form of error that memberlist treats as a failure of the remote member")
 		n.SetLink(b.Addr(), a.Addr(), Rules{Cut: true})
 		_, err = dial(b.Addr())
-		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the way back is cut")
+		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the opposite direction is cut")
 		n.Heal()
 		n.SetLink(a.Addr(), b.Addr(), Rules{RejectDials: true})
 		_, err = dial(b.Addr())
-		require.ErrorIs(t, err, syscall.ECONNREFUSED, "rejected on its behalf")
+		require.ErrorIs(t, err, syscall.ECONNREFUSED, "refused although the port listens")
 		n.Heal()
 		n.SetHostDown(b.Addr(), true)
 		_, err = dial(b.Addr())
-		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "a host that is away refuses nothing")
+		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "a host that is down does not refuse")
 		n.SetHostDown(b.Addr(), false)
 		for range backlog {
 			_, err = dial(b.Addr())
 			require.NoError(t, err)
 		}
 		_, err = dial(b.Addr())
-		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "its backlog is full")
+		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the backlog is full")
 		s := <-b.StreamCh()
 		blocked := make(chan error)
 		go func() {
@@ -175,17 +175,17 @@
 	})
 }
 
-// join retries until a call is answered: some are lost.
+// join retries joining, because some packets are lost.
 func join(t *testing.T, m *memberlist.Memberlist) {
 	for range 10 {
 		if _, err := m.Join([]string{Addr(0).String()}); err == nil {
 			return
 		}
 	}
-	t.Fatal("cannot join")
+	t.Fatal("join failed 10 times")
 }
 
-// memberlist itself works on the network: it joins, notices a port that is gone, and heals a split.
+// memberlist works on the simulated network: members join, notice a closed port, and recover from a partition.
 func TestMemberlist(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const count = 12
@@ -212,7 +212,7 @@
 				if agree {
 					return
 				}
-				require.True(t, time.Now().Before(end), "no agreement on %d", alive)
+				require.True(t, time.Now().Before(end), "members do not agree on %d live members within 5 minutes", alive)
 			}
 		}
 		await(count, all)
@@ -228,6 +228,6 @@
 		for _, m := range all {
 			require.NoError(t, m.Shutdown())
 		}
-		time.Sleep(time.Minute) // simulated: the library's last probes end by time
+		time.Sleep(time.Minute) // simulated time: the library's last probes end by timeout
 	})
 }
--- a/internal/lab/gossip/network.go
+++ b/internal/lab/gossip/network.go
@@ -1,13 +1,13 @@
-// Package gossip is a network in memory for fleets of hundreds to thousands of members in one process. Each member's
-// Port is a memberlist transport; between ports are loss, delay, cuts one way or both, splits into parts, hosts that
-// vanish and addresses that refuse. Time is the process's own, so members run as they do on sockets.
+// Package gossip simulates a network in memory for fleets of hundreds to thousands of members in one process. Each
+// member's Port is a memberlist transport. The network simulates loss, delay, one-way and two-way cuts, partitions,
+// hosts that are down, and addresses that refuse connections. It uses the clock of the process, so members run as they
+// do on sockets.
 //
-// What is drawn comes from one generator for each sender, from the network's seed: the fate of its packets follows
-// from the seed and from the order in which it sends.
+// Each sender has its own random generator, derived from the network's seed. Which packets are lost or delayed depends
+// only on the seed and on the order in which the sender sends.
 //
-// Not promised: bandwidth is without end; a stream that a cut holds up goes on as soon as the cut is over, where TCP
-// would wait for its next retransmission; a port has no more than one path to another, so packets overtake each
-// other only by Jitter.
+// Limits: bandwidth is infinite. A stream that a cut blocks continues as soon as the cut ends, whereas TCP would wait
+// for its next retransmission. There is one path between two ports, so only Jitter reorders packets.
 package gossip
 
 import (
@@ -21,50 +21,50 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Rules say what happens to what one port sends another. A connection also needs the way back.
+// Rules configure one direction between two ports. A connection also depends on the opposite direction.
 type Rules struct {
-	Loss        float64       // share of packets lost; of a stream each loss costs a retransmission's time
-	Delay       time.Duration // one way
-	Jitter      time.Duration // at most so much more, drawn evenly
+	Loss        float64       // fraction of packets lost; on a stream, each loss costs a retransmission timeout
+	Delay       time.Duration // one-way delay
+	Jitter      time.Duration // maximum additional delay, uniformly distributed; 0 means none
 	Cut         bool          // nothing passes
-	RejectDials bool          // connections are refused though a port listens, as by a firewall
+	RejectDials bool          // connections are refused although a port listens, as by a firewall
 }
 
-// link is from one address to another.
+// link is the direction from one address to another.
 type link struct{ from, to netip.AddrPort }
 
-// Network joins ports. Its methods may be called at any time.
+// Network connects ports. Its methods are safe for concurrent use.
 type Network struct {
 	seed uint64
 
-	mu      sync.RWMutex
-	defaultRules     Rules
-	links   map[link]Rules
-	partitions    map[netip.AddrPort]int // 0 for those not in it
+	mu           sync.RWMutex
+	defaultRules Rules
+	links        map[link]Rules
+	partitions   map[netip.AddrPort]int // partition number by address; 0 for addresses not in the map
 	downHosts    map[netip.AddrPort]bool
-	ports   map[netip.AddrPort]*Port
+	ports        map[netip.AddrPort]*Port
 	openedPorts  uint64
-	changed chan struct{} // closed and replaced at each change, for streams that are held up
+	changed      chan struct{} // closed and replaced at each change, to wake blocked streams
 }
 
-// New makes a network without ports, where rules hold between all.
+// New returns a network without ports, with rules as the default for every direction.
 func New(seed uint64, rules Rules) *Network {
 	return &Network{seed: seed, defaultRules: rules, links: map[link]Rules{}, partitions: map[netip.AddrPort]int{},
-		downHosts:  map[netip.AddrPort]bool{},
-		ports: map[netip.AddrPort]*Port{}, changed: make(chan struct{})}
+		downHosts: map[netip.AddrPort]bool{},
+		ports:     map[netip.AddrPort]*Port{}, changed: make(chan struct{})}
 }
 
-// Addr is an address of the network's own for member n, below 2^24.
+// Addr returns the simulated address of member n. n must be below 2^24.
 func Addr(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)}), 7946)
 }
 
-// Open listens at an address. It fails where a port is open.
+// Open opens a port at an address. It fails if a port is already open at the address.
 func (n *Network) Open(addr netip.AddrPort) (*Port, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ports[addr] != nil {
-		return nil, fmt.Errorf("gossip: %v: a port is open there", addr)
+		return nil, fmt.Errorf("gossip: open port %v: address in use", addr)
 	}
 	n.openedPorts++
 	p := &Port{net: n, addr: addr, rng: rand.New(rand.NewPCG(n.seed, n.openedPorts)), done: make(chan struct{}),
@@ -74,7 +74,7 @@
 	return p, nil
 }
 
-// update does something to the network and wakes the goroutines that wait for it.
+// update runs do with the lock held and wakes the goroutines that wait for a change of the network.
 func (n *Network) update(do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,16 +83,16 @@
 	n.changed = make(chan struct{})
 }
 
-// SetDefault gives the rules that hold between all that have none of their own.
+// SetDefault sets the rules for every direction without rules of its own.
 func (n *Network) SetDefault(rules Rules) { n.update(func() { n.defaultRules = rules }) }
 
-// SetLink gives the rules that hold from one address to another, that way only.
+// SetLink sets the rules for the direction from one address to another.
 func (n *Network) SetLink(from, to netip.AddrPort, rules Rules) {
 	n.update(func() { n.links[link{from, to}] = rules })
 }
 
-// Partition puts each address that is named in a part; those of different parts exchange nothing. An address that is not
-// named is in part 0.
+// Partition assigns addresses to numbered partitions and replaces earlier assignments. Addresses of different
+// partitions exchange nothing. An address that is not in the map is in partition 0.
 func (n *Network) Partition(partitions map[netip.AddrPort]int) {
 	n.update(func() {
 		clear(n.partitions)
@@ -102,7 +102,8 @@
 	})
 }
 
-// Heal ends cuts, refusals and splits, and takes away the rules of single ways; hosts that vanished stay away.
+// Heal removes all partitions and all rules set by SetLink, including their cuts and refusals. Hosts that are down stay
+// down.
 func (n *Network) Heal() {
 	n.update(func() {
 		clear(n.partitions)
@@ -110,12 +111,14 @@
 	})
 }
 
-// SetHostDown takes the host of an address off the network, or puts it back: nothing goes in or out, and calls to it come
-// to nothing, where those to a host without the process are refused.
-func (n *Network) SetHostDown(addr netip.AddrPort, down bool) { n.update(func() { n.downHosts[addr] = down }) }
+// SetHostDown disconnects the host of an address from the network, or reconnects it. A host that is down exchanges
+// nothing. Connections to it time out, whereas a host that is up without a port refuses them.
+func (n *Network) SetHostDown(addr netip.AddrPort, down bool) {
+	n.update(func() { n.downHosts[addr] = down })
+}
 
-// lookup gives the rules from one address to another, who listens there, and a channel that is closed at the next
-// change.
+// lookup returns the rules from one address to another, the port at the destination (nil if none is open), and a
+// channel that is closed at the next change of the network.
 func (n *Network) lookup(from, to netip.AddrPort) (r Rules, p *Port, changed <-chan struct{}) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -129,7 +132,7 @@
 	return r, n.ports[to], n.changed
 }
 
-// remove takes a closed port out.
+// remove removes a closed port from the network.
 func (n *Network) remove(p *Port) {
 	n.update(func() {
 		if n.ports[p.addr] == p {
--- a/internal/lab/gossip/port.go
+++ b/internal/lab/gossip/port.go
@@ -15,48 +15,49 @@
 )
 
 const (
-	packetQueueSize = 1024                   // packets that wait at a port; more are lost, as in a system's buffer
-	backlog     = 128                    // streams that wait at a port; a call beyond it is tried again
-	firstDialRetry  = time.Second            // from a lost call to the next; twice as long each time
-	firstRetransmit  = 200 * time.Millisecond // from a lost part of a stream to the next; twice as long each time
+	packetQueueSize = 1024                   // maximum packets queued at a port; more are dropped as by a socket buffer
+	backlog         = 128                    // maximum streams not yet accepted; a dial beyond it is retried
+	firstDialRetry  = time.Second            // delay before the first retry of a lost dial; doubles each time
+	firstRetransmit = 200 * time.Millisecond // delay of the first retransmission on a stream; doubles each time
 )
 
-// Counts are what a port sent and received. Bytes are those of packets and streams, without headers below them.
+// Counts holds the traffic counters of a port. Bytes are the payload of packets and streams, without lower-layer
+// headers.
 type Counts struct {
 	SentPackets, SentBytes         uint64
 	ReceivedPackets, ReceivedBytes uint64
-	LostPackets                    uint64 // of those that it sent, on the way
-	OverflowPackets                uint64 // that came and found its queue full
-	Streams                        uint64 // that it opened
-	RejectedDials                  uint64 // of its calls
+	LostPackets                    uint64 // sent packets lost on the network
+	OverflowPackets                uint64 // incoming packets dropped because the queue was full
+	Streams                        uint64 // streams that the port opened
+	RejectedDials                  uint64 // dials of the port that were refused
 }
 
-// counters are Counts as they are kept.
+// counters holds the values of Counts for concurrent updates.
 type counters struct {
 	sentPackets, sentBytes, receivedPackets, receivedBytes, lost, overflow, streams, rejected atomic.Uint64
 }
 
-// Port is one member's place on the network.
+// Port is the memberlist transport of one member.
 type Port struct {
 	net     *Network
 	addr    netip.AddrPort
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	done     chan struct{}
+	done    chan struct{}
 	counts  counters
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	openStreams   map[*Stream]struct{}
-	closed bool
+	mu          sync.Mutex
+	rng         *rand.Rand
+	openStreams map[*Stream]struct{}
+	closed      bool
 }
 
 var _ memberlist.NodeAwareTransport = (*Port)(nil)
 
-// Addr is where others reach it.
+// Addr returns the address of the port.
 func (p *Port) Addr() netip.AddrPort { return p.addr }
 
-// Counts gives what it sent and received so far.
+// Counts returns the traffic counters so far.
 func (p *Port) Counts() Counts {
 	c := &p.counts
 	return Counts{SentPackets: c.sentPackets.Load(), SentBytes: c.sentBytes.Load(),
@@ -64,18 +65,18 @@
 		OverflowPackets: c.overflow.Load(), Streams: c.streams.Load(), RejectedDials: c.rejected.Load()}
 }
 
-// FinalAdvertiseAddr is its address, whatever the library's configuration says.
+// FinalAdvertiseAddr returns the address of the port and ignores the configured address.
 func (p *Port) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return p.addr.Addr().AsSlice(), int(p.addr.Port()), nil
 }
 
-// PacketCh gives the packets that came in.
+// PacketCh returns the channel of received packets.
 func (p *Port) PacketCh() <-chan *memberlist.Packet { return p.packets }
 
-// StreamCh gives the streams that others opened.
+// StreamCh returns the channel of streams that other ports opened.
 func (p *Port) StreamCh() <-chan net.Conn { return p.streams }
 
-// sampleDelivery tells whether one packet is lost, and how late it comes otherwise.
+// sampleDelivery samples whether a packet is lost and its delay otherwise.
 func (p *Port) sampleDelivery(r Rules) (lost bool, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +87,7 @@
 	return lost || r.Cut, delay
 }
 
-// WriteTo sends a packet. That it is lost is no error.
+// WriteTo sends a packet. A lost packet is not an error.
 func (p *Port) WriteTo(b []byte, addr string) (time.Time, error) {
 	now := time.Now()
 	to, err := netip.ParseAddrPort(addr)
@@ -115,13 +116,14 @@
 	return now, nil
 }
 
+// receive queues an incoming packet, or drops it if the queue is full.
 func (p *Port) receive(packet *memberlist.Packet) {
 	select {
 	case <-p.done:
 		return
 	default:
 	}
-	size := uint64(len(packet.Buf)) // before it is another's
+	size := uint64(len(packet.Buf)) // read before the receiver owns the buffer
 	packet.Timestamp = time.Now()
 	select {
 	case p.packets <- packet:
@@ -142,8 +144,8 @@
 	return p.DialTimeout(a.Addr, timeout)
 }
 
-// DialTimeout opens a stream. Lost calls are tried again until the time is over; one to an address where no port
-// listens is refused (ECONNREFUSED), if the refusal comes through.
+// DialTimeout opens a stream. Lost dials are retried until the timeout. A dial to an address without a port fails with
+// ECONNREFUSED if neither direction is cut.
 func (p *Port) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -195,13 +197,13 @@
 		if stream != nil {
 			return stream, nil
 		}
-		if err := wait(retry); err != nil { // its backlog is full
+		if err := wait(retry); err != nil { // the backlog is full
 			return nil, err
 		}
 	}
 }
 
-// Shutdown closes the port and breaks its streams. Its address refuses from now on.
+// Shutdown closes the port and resets its streams. Its address refuses connections afterwards.
 func (p *Port) Shutdown() error {
 	p.mu.Lock()
 	if p.closed {
--- a/internal/lab/gossip/stream.go
+++ b/internal/lab/gossip/stream.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// maxBufferedBytes is how many bytes of a stream wait for its reader before its writer is stopped.
+// maxBufferedBytes is the number of unread bytes in one direction of a stream at which its writer blocks.
 const maxBufferedBytes = 1 << 20
 
-// segment is what one Write sent.
+// segment is the data of one Write.
 type segment struct {
-	due  time.Time // not read before
+	due  time.Time // time from which the data can be read
 	data []byte
 }
 
@@ -22,18 +22,18 @@
 type pipe struct {
 	from, to *Port
 
-	mu     sync.Mutex
-	segments  []segment
-	bufferedBytes   int
-	lastDue   time.Time // when the last part is due: none overtakes another
-	closed bool      // no part comes any more
-	broken bool
-	wake   chan struct{} // closed and replaced at each change
+	mu            sync.Mutex
+	segments      []segment
+	bufferedBytes int
+	lastDue       time.Time // due time of the last segment; segments stay in order
+	closed        bool      // the writer closed its end
+	broken        bool
+	wake          chan struct{} // closed and replaced at each change
 }
 
 func newPipe(from, to *Port) *pipe { return &pipe{from: from, to: to, wake: make(chan struct{})} }
 
-// update changes the pipe and wakes who waits at it.
+// update runs do with the lock held and wakes the goroutines that wait for the pipe.
 func (p *pipe) update(do func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,13 +47,13 @@
 	port    *Port
 	in, out *pipe
 
-	mu          sync.Mutex
-	closed      bool
-	readDeadline, writeDeadline time.Time     // deadlines
-	changed     chan struct{} // closed and replaced when a deadline changes or it is closed
+	mu                          sync.Mutex
+	closed                      bool
+	readDeadline, writeDeadline time.Time     // zero: none
+	changed                     chan struct{} // closed and replaced when a deadline changes or the stream is closed
 }
 
-// openStream opens a stream to a port; none where its backlog is full.
+// openStream opens a stream to a port. It returns nil without an error if the port's backlog is full.
 func (p *Port) openStream(to *Port) (*Stream, error) {
 	outbound, inbound := newPipe(p, to), newPipe(to, p)
 	local := &Stream{port: p, in: inbound, out: outbound, changed: make(chan struct{})}
@@ -75,7 +75,7 @@
 	}
 }
 
-// track has a port's Shutdown break the stream; false: the port is closed.
+// track registers a stream to be reset by the port's Shutdown. It returns false if the port is closed.
 func (p *Port) track(s *Stream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,7 +94,7 @@
 	_ = s.Close()
 }
 
-// Close ends the stream: what was written still arrives, what comes is not read.
+// Close closes the stream. Data already written still arrives, incoming data is discarded.
 func (s *Stream) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// wait blocks until something has changed or a time has come. It fails where the stream is closed or a deadline is
-// over.
+// wait blocks until one of the channels signals a change or the time until is reached (zero: no time limit). It fails
+// if the stream is closed or its deadline has passed.
 func (s *Stream) wait(deadline func() time.Time, wake, networkChanged <-chan struct{}, until time.Time) error {
 	s.mu.Lock()
 	closed, end, streamChanged := s.closed, deadline(), s.changed
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// Read reads what has arrived. Nothing does while the way to here is cut.
+// Read reads data that has arrived. It blocks while the incoming direction is cut.
 func (s *Stream) Read(b []byte) (int, error) {
 	in := s.in
 	for {
@@ -181,7 +181,7 @@
 	}
 }
 
-// Write sends; it waits where the reader is far behind.
+// Write sends data. It blocks while the reader is maxBufferedBytes behind.
 func (s *Stream) Write(b []byte) (int, error) {
 	out := s.out
 	for {
@@ -199,7 +199,7 @@
 		}
 	}
 	rules, _, _ := s.port.net.lookup(out.from.addr, out.to.addr)
-	rules.Cut = false // that holds it up where it is read
+	rules.Cut = false // Read applies the cut
 	lost, delay := s.port.sampleDelivery(rules)
 	for timeout := firstRetransmit; lost && timeout < time.Minute; timeout *= 2 {
 		var extraDelay time.Duration
@@ -217,7 +217,7 @@
 	return len(b), nil
 }
 
-// brokenError says why a broken stream fails.
+// brokenError returns the error of an operation on a broken stream.
 func (s *Stream) brokenError(op string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,16 +227,18 @@
 	return s.opError(op, os.NewSyscallError(op, syscall.ECONNRESET))
 }
 
+// opError wraps an error with the operation and the addresses of the stream.
 func (s *Stream) opError(op string, err error) error {
 	return &net.OpError{Op: op, Net: "tcp", Source: s.LocalAddr(), Addr: s.RemoteAddr(), Err: err}
 }
 
-// LocalAddr is the own port's address.
+// LocalAddr returns the address of the stream's own port.
 func (s *Stream) LocalAddr() net.Addr { return net.TCPAddrFromAddrPort(s.out.from.addr) }
 
-// RemoteAddr is the other port's address.
+// RemoteAddr returns the address of the other port.
 func (s *Stream) RemoteAddr() net.Addr { return net.TCPAddrFromAddrPort(s.out.to.addr) }
 
+// update runs do with the lock held and wakes the goroutines that wait for the stream.
 func (s *Stream) update(do func()) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -246,11 +248,13 @@
 	return nil
 }
 
-// SetDeadline bounds reads and writes.
-func (s *Stream) SetDeadline(t time.Time) error { return s.update(func() { s.readDeadline, s.writeDeadline = t, t }) }
+// SetDeadline sets the deadline of reads and writes; zero means none.
+func (s *Stream) SetDeadline(t time.Time) error {
+	return s.update(func() { s.readDeadline, s.writeDeadline = t, t })
+}
 
-// SetReadDeadline bounds reads.
+// SetReadDeadline sets the deadline of reads; zero means none.
 func (s *Stream) SetReadDeadline(t time.Time) error { return s.update(func() { s.readDeadline = t }) }
 
-// SetWriteDeadline bounds writes.
+// SetWriteDeadline sets the deadline of writes; zero means none.
 func (s *Stream) SetWriteDeadline(t time.Time) error { return s.update(func() { s.writeDeadline = t }) }
--- a/internal/lab/members/members_test.go
+++ b/internal/lab/members/members_test.go
@@ -32,7 +32,8 @@
 interval = "200ms"
 `
 
-// expectDial checks what comes of a call from one party to another's endpoint: it is taken, refused, or silent.
+// expectDial dials the endpoint of one party from another and checks whether the connection is accepted ("taken"),
+// refused, or times out ("silent").
 func expectDial(t *testing.T, want string, from, to *Endpoint, why ...any) {
 	t.Helper()
 	wait := 5 * time.Second
@@ -55,7 +56,8 @@
 	assert.Equal(t, want, got, why...)
 }
 
-// An endpoint refuses where its host would, and not through a cut; packets and connections pass as the faults let them.
+// An endpoint refuses connections when the host of its process would, but not through a cut. Packets and connections
+// pass only where the active faults let them.
 func TestEndpoint_rejectsAsItsHost(t *testing.T) {
 	s, err := scenario.Parse("test.toml", []byte(threeMembers))
 	require.NoError(t, err)
@@ -63,7 +65,7 @@
 	require.NoError(t, err)
 	defer m.Close()
 	endpoints := []*Endpoint{m.newestEndpoint(0), m.newestEndpoint(1), m.newestEndpoint(2)}
-	expectDial(t, "refused", endpoints[0], endpoints[1], "before its process starts")
+	expectDial(t, "refused", endpoints[0], endpoints[1], "before the process starts")
 	process, err := net.Listen("tcp4", endpoints[1].bindAddr)
 	require.NoError(t, err)
 	defer process.Close()
@@ -92,8 +94,8 @@
 	expectDial(t, "taken", endpoints[0], endpoints[1])
 	expectPacket(true)
 	for way, want := range map[string]struct {
-		to, from string // what comes of a call to the party that is cut off, and of its own
-		arrives  bool   // what is sent to it
+		to, from string // outcome of a connection to the cut-off party, and from it
+		arrives  bool   // a packet to the cut-off party arrives
 	}{
 		"to": {"silent", "silent", false}, "from": {"silent", "silent", true},
 		"both": {"silent", "silent", false}, "in": {"silent", "refused", false},
@@ -101,19 +103,19 @@
 		cut := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-cut", Direction: way}, Sidecars: []int{1}}
 		require.NoError(t, m.SetFault(cut, true))
 		expectDial(t, want.to, endpoints[0], endpoints[1], way)
-		expectDial(t, want.from, endpoints[1], endpoints[0], "%s, whose process is not there", way)
+		expectDial(t, want.from, endpoints[1], endpoints[0], "%s: called party without a process", way)
 		expectPacket(want.arrives)
 		m.ProcessEnded(endpoints[1], nil)
-		expectDial(t, "silent", endpoints[0], endpoints[1], "%s: a refusal does not reach through", way)
+		expectDial(t, "silent", endpoints[0], endpoints[1], "%s: a refusal must not pass the cut", way)
 		require.NoError(t, m.SetFault(cut, false))
 		expectDial(t, "refused", endpoints[0], endpoints[1], way)
-		endpoints[1].assigned = false // the next process has it again
+		endpoints[1].assigned = false // let the next process use this endpoint
 		_, err = m.Prepare(1)
 		require.NoError(t, err)
 	}
 	reject := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-refuse"}, Sidecars: []int{1}}
 	require.NoError(t, m.SetFault(reject, true))
-	expectDial(t, "refused", endpoints[0], endpoints[1], "although its process lives")
+	expectDial(t, "refused", endpoints[0], endpoints[1], "refused although the process is live")
 	expectDial(t, "silent", endpoints[1], endpoints[0])
 	expectPacket(false)
 	require.NoError(t, m.SetFault(reject, false))
@@ -124,7 +126,7 @@
 	expectDial(t, "taken", endpoints[0], endpoints[1])
 }
 
-// What a report says of members follows from the records.
+// The members section of a report is computed from the records.
 func TestResult_ofRecords(t *testing.T) {
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	var events []record.Event
@@ -145,7 +147,7 @@
 	addStatus(0, 0, 2, "alive n2")
 	addStatus(0, 1, 2, "alive n2")
 	addStatus(0, 0, 1, "alive n1")
-	addStatus(0, 2, 0, "silent n0") // not heard yet
+	addStatus(0, 2, 0, "silent n0") // no message yet
 	addStatus(1, 0, 1, "silent n1")
 	addView(2, 1, 3, 3)
 	add(3, record.MemberProcess, 2, invariant.MemberEnded)
--- a/internal/lab/members/network.go
+++ b/internal/lab/members/network.go
@@ -1,5 +1,5 @@
-// Package members is the membership of a run: the proxies between the members, the faults that are injected into them, a
-// poller for the view of each process, and the result of what the members knew of each other.
+// Package members runs the gossip network of a run. It puts proxies with faults between the members, polls the
+// membership view of each process, and computes the result from the recorded views.
 package members
 
 import (
@@ -22,51 +22,53 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// endpointAttempts is how often an address is tried that is free for connections and packets.
+// endpointAttempts is the maximum number of ports tried to find one that is free for both TCP and UDP.
 const endpointAttempts = 3
 
-// FleetLabel is the fleet that the members of a run belong to.
+// FleetLabel is the fleet name in the configuration of every member of a run.
 const FleetLabel = "lab"
 
-// Network is what lies between the members of a run: the sidecars, and after them the replicas of the registry. Each
-// process binds an address of its own and advertises that of an endpoint, which forwards packets and connections. An
-// endpoint knows the caller by its address, so faults can be injected between any two parties.
+// Network connects the members of a run. Its parties are the sidecars, followed by the replicas of the registry. Each
+// process binds an address of its own and advertises the address of an endpoint, which forwards packets and
+// connections. An endpoint identifies the caller by its source address, so faults can be injected between any two
+// parties.
 type Network struct {
-	run         *harness.Run
-	registry    *cluster.Cluster // nil: none of its replicas is a member
-	partyCount  int
-	partyByAddr map[string]int        // by the address that a party calls from
-	links       [][]*relay.Link       // of connections, by calling and called party
-	packetLinks     [][]*relay.PacketLink // of packets, by sending and called party
-	blockedPackets     *relay.PacketLink
+	run            *harness.Run
+	registry       *cluster.Cluster // nil: no replica is a member
+	partyCount     int
+	partyByAddr    map[string]int        // party number by source IP address
+	links          [][]*relay.Link       // for connections, by calling and called party
+	packetLinks    [][]*relay.PacketLink // for packets, by sending and receiving party
+	blockedPackets *relay.PacketLink     // drops packets from unknown addresses
 
 	mu           sync.Mutex
-	endpoints    [][]*Endpoint // of each party, the newest last
+	endpoints    [][]*Endpoint // by party, oldest first
 	activeFaults []*scenario.FaultPlan
 	lastSerial   uint64
-	serials      map[*process.Child]uint64 // their numbers
+	serials      map[*process.Child]uint64 // serial number of each polled process
 
 	ctx  context.Context
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 }
 
-// Endpoint is the advertised address of a process, or of several after each other that keep it.
+// Endpoint is the proxy at the advertised address of a process. Successive processes of a party may share an endpoint.
 type Endpoint struct {
 	party       int
-	bindAddr    string // where the process itself listens
+	bindAddr    string // where the process listens
 	proxy       *relay.Port
 	packetProxy *relay.PacketProxy
-	process     *process.Child // the process behind it
-	reservedFD  int            // while it refuses: a socket that keeps its port from other processes; -1: none
-	assigned    bool           // some process has had it
-	down        bool           // no process is behind it: its host refuses connections
+	process     *process.Child // the process behind the endpoint; nil before SetProcess
+	reservedFD  int            // socket that reserves the port while the endpoint refuses connections; -1: none
+	assigned    bool           // a process has been prepared for the endpoint
+	down        bool           // no process is behind the endpoint, so connections are refused
 }
 
-// Addr is the advertised address.
+// Addr returns the advertised address.
 func (e *Endpoint) Addr() string { return e.proxy.Addr(e.party) }
 
-// New opens an endpoint for the first process of each party, as the address of every seed is known before it starts.
+// New opens an endpoint for the first process of each party, because the seed addresses must be known before any
+// process starts.
 func New(r *harness.Run) (*Network, error) {
 	network := &Network{run: r, partyCount: len(r.Plan.Sidecars) + r.Scenario.Discovery.RegistryReplicas, partyByAddr: map[string]int{},
 		blockedPackets: relay.NewPacketLink(relay.PacketRules{Cut: relay.Both}, 0), serials: map[*process.Child]uint64{}}
@@ -93,7 +95,8 @@
 	return network, nil
 }
 
-// latencyBetween is the time one way between two parties without faults. The replicas of the registry are near all.
+// latencyBetween returns the one-way latency between two parties without faults. The replicas of the registry are
+// treated as in the same zone as every party.
 func (m *Network) latencyBetween(i, j int) time.Duration {
 	s, n := m.run.Scenario, len(m.run.Plan.Sidecars)
 	if i >= n || j >= n {
@@ -102,7 +105,7 @@
 	return s.Network.Latency(m.run.Plan.Sidecars[i].Zone, m.run.Plan.Sidecars[j].Zone).Duration()
 }
 
-// openEndpoint makes an endpoint. One that is down refuses connections until a process has been prepared.
+// openEndpoint opens an endpoint for a party. If down is set, it refuses connections until Prepare is called.
 func (m *Network) openEndpoint(party int, down bool) (*Endpoint, error) {
 	var err error
 	for range endpointAttempts {
@@ -125,7 +128,7 @@
 			}
 			return m.blockedPackets
 		})
-		if err != nil { // somebody has the port for packets
+		if err != nil { // another socket has the UDP port
 			endpoint.proxy.Close()
 			continue
 		}
@@ -135,17 +138,18 @@
 		m.mu.Unlock()
 		return endpoint, err
 	}
-	return nil, fmt.Errorf("lab: no address for member %d: %w", party, err)
+	return nil, fmt.Errorf("lab: open endpoint of member %d: no port free for both TCP and UDP: %w", party, err)
 }
 
-// newestEndpoint is that of the newest process of a party.
+// newestEndpoint returns the endpoint that was opened last for a party.
 func (m *Network) newestEndpoint(party int) *Endpoint {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.endpoints[party][len(m.endpoints[party])-1]
 }
 
-// Prepare gives the endpoint for the next process of a party, and lets it forward.
+// Prepare returns the endpoint for the next process of a party and enables forwarding. It opens a new endpoint unless
+// the party keeps its address.
 func (m *Network) Prepare(party int) (*Endpoint, error) {
 	endpoint := m.newestEndpoint(party)
 	m.mu.Lock()
@@ -163,15 +167,15 @@
 	return endpoint, m.updateListener(endpoint)
 }
 
-// SetProcess says which process is behind an endpoint.
+// SetProcess sets the process behind an endpoint.
 func (m *Network) SetProcess(endpoint *Endpoint, c *process.Child) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	endpoint.process = c
 }
 
-// ProcessEnded lets an endpoint refuse connections, as the host of a process that has ended does. Nothing changes where a
-// later process has the endpoint by now.
+// ProcessEnded makes an endpoint refuse connections, as the host of an ended process does. It does nothing if a later
+// process has taken over the endpoint.
 func (m *Network) ProcessEnded(endpoint *Endpoint, c *process.Child) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,10 +188,12 @@
 	}
 }
 
-// updateListener opens, closes or cuts the listener of an endpoint as the faults and its process demand; m.mu is held.
+// updateListener opens, closes or cuts the listener of an endpoint according to the active faults and the state of its
+// process. The caller holds m.mu.
 //
-// Only a whole listener can refuse, so a refusal waits while somebody is cut off from the endpoint: it would reach through
-// the cut. Others are accepted and reset meanwhile, which proves nothing to them.
+// A listener can only refuse the connections of all parties. While a party is cut off, a refusal would reach it through
+// the cut, so refusing is deferred until no cut is active. Meanwhile, connections of other parties are accepted and
+// reset, which is no proof to them that the process has ended.
 func (m *Network) updateListener(endpoint *Endpoint) error {
 	if m.ctx.Err() != nil {
 		return nil
@@ -219,13 +225,14 @@
 	return nil
 }
 
-// reservePort keeps the port of an endpoint that does not listen: calls are refused as before. While old connections
-// linger it cannot be kept, and need not be.
+// reservePort binds the port of an endpoint that does not listen, so that no other process gets the port and
+// connections are still refused. While old connections linger, bind fails; the connections themselves then reserve the
+// port.
 func (e *Endpoint) reservePort() {
 	if e.reservedFD >= 0 {
 		return
 	}
-	_, port, _ := net.SplitHostPort(e.Addr()) // it was formatted by the proxy
+	_, port, _ := net.SplitHostPort(e.Addr()) // the proxy formatted the address
 	n, _ := strconv.Atoi(port)
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -238,6 +245,7 @@
 	e.reservedFD = fd
 }
 
+// releasePort undoes reservePort.
 func (e *Endpoint) releasePort() {
 	if e.reservedFD >= 0 {
 		unix.Close(e.reservedFD)
@@ -245,13 +253,14 @@
 	}
 }
 
+// rejectsCalls reports whether an active fault makes a party refuse connections. The caller holds m.mu.
 func (m *Network) rejectsCalls(party int) bool {
 	return slices.ContainsFunc(m.activeFaults, func(p *scenario.FaultPlan) bool {
 		return p.Fault.Kind == "members-refuse" && slices.Contains(p.Sidecars, party)
 	})
 }
 
-// SetFault begins or ends a fault between members.
+// SetFault starts a fault between members if on is set, and ends it otherwise.
 func (m *Network) SetFault(p *scenario.FaultPlan, on bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -275,9 +284,9 @@
 	return failed
 }
 
-// updateLinks sets the links from one party to another by all active faults; m.mu is held.
+// updateLinks applies all active faults to the links from party i to party j. The caller holds m.mu.
 func (m *Network) updateLinks(i, j int) {
-	var cut relay.Direction // that are silent, of connections from i to j
+	var cut relay.Direction // directions cut, of connections from i to j
 	packetsCut, reject := false, false
 	packetLoss, extraLatency := 0.0, time.Duration(0)
 	for _, p := range m.activeFaults {
@@ -290,7 +299,7 @@
 		case from == to:
 		case f.Kind == "members-refuse":
 			packetsCut = true
-			if reject = reject || to; from { // only the host itself refuses: the process behind it gets nothing
+			if reject = reject || to; from { // the host refuses connections to the party; the party's own are cut
 				cut = relay.Both
 			}
 		case f.Kind != "members-cut":
@@ -299,8 +308,8 @@
 				cut = relay.Both
 			}
 		default:
-			// What comes to those who are cut off is lost, or what they send, or both; of a connection that is its
-			// one way or the other.
+			// The cut drops what is sent to the cut-off parties, what they send, or both. For a connection, these are
+			// its two directions.
 			if to && f.Direction != "from" || from && f.Direction != "to" {
 				packetsCut, cut = true, cut|relay.To
 			}
@@ -319,7 +328,7 @@
 	})
 }
 
-// ConfigSection is the section members of the configuration of a party; nil: it has none.
+// ConfigSection returns the [members] section of a party's configuration; nil if the party is not a member.
 func (m *Network) ConfigSection(party int) map[string]any {
 	s := m.run.Scenario
 	if party < len(m.run.Plan.Sidecars) && !s.InMembership(party) {
@@ -351,8 +360,8 @@
 	return section
 }
 
-// StartReplicas turns membership on in the replicas of the registry, which run already: one after another is started again
-// with its section, as an operator would do it.
+// StartReplicas enables membership in the running replicas of the registry. As an operator would, it adds the section
+// to the configuration of one replica after another and restarts the replica.
 func (m *Network) StartReplicas(ctx context.Context, registry *cluster.Cluster) error {
 	m.registry = registry
 	for k, c := range m.registry.Replicas {
@@ -363,10 +372,10 @@
 		}
 		text, err := toml.Marshal(map[string]any{"members": m.ConfigSection(party)})
 		if err != nil {
-			return fmt.Errorf("copy %s: %w", c.Name, err)
+			return fmt.Errorf("replica %s: marshal members section: %w", c.Name, err)
 		}
 		if err := c.AppendConfig(text); err != nil {
-			return fmt.Errorf("copy %s: %w", c.Name, err)
+			return fmt.Errorf("replica %s: append members section: %w", c.Name, err)
 		}
 		c.Process().Kill()
 		if err := m.registry.Launch(ctx, c); err != nil {
@@ -380,7 +389,7 @@
 	return nil
 }
 
-// followReplica polls the processes of a replica of the registry, which faults of other kinds end and start.
+// followReplica polls the successive processes of a registry replica, which faults of other kinds may restart.
 func (m *Network) followReplica(endpoint *Endpoint, c *cluster.Replica) {
 	var last *process.Child
 	for m.ctx.Err() == nil {
@@ -404,13 +413,13 @@
 	}
 }
 
-// StopPolling stops the pollers. The endpoints stay.
+// StopPolling stops the pollers and waits for them. The endpoints stay open.
 func (m *Network) StopPolling() {
 	m.stop()
 	m.wg.Wait()
 }
 
-// Close ends the pollers and closes the endpoints.
+// Close stops the pollers and closes the endpoints.
 func (m *Network) Close() {
 	m.StopPolling()
 	for _, all := range m.endpoints {
--- a/internal/lab/members/poller.go
+++ b/internal/lab/members/poller.go
@@ -17,12 +17,13 @@
 )
 
 const (
-	pollInterval   = 100 * time.Millisecond // between two polls of a process
-	pollTimeout    = 3 * time.Second        // a process that is frozen gives no answer
-	maxResponseBytes = 16 << 20               // 16 MB
+	pollInterval     = 100 * time.Millisecond // time between two polls of a process
+	pollTimeout      = 3 * time.Second        // timeout of a poll, as a frozen process does not respond
+	maxResponseBytes = 16 << 20               // maximum bytes read of a response: 16 MiB
 )
 
-// membersResponse is what the lab reads of an answer. It is lenient, so that the invariants judge and not the decoder.
+// membersResponse has the fields of a response to GET /members that the lab reads. Decoding is lenient, so that bad
+// values reach the invariants instead of failing here.
 type membersResponse struct {
 	Self struct {
 		Name  string `json:"name"`
@@ -44,7 +45,7 @@
 	} `json:"members"`
 }
 
-// managementAddr reads the management address from the line with which a sidecar says that it serves.
+// managementAddr returns the management address in the line that a sidecar prints when it is ready.
 func managementAddr(line string) (string, error) {
 	for _, word := range strings.Fields(line) {
 		if addr, ok := strings.CutPrefix(word, "management="); ok {
@@ -55,7 +56,7 @@
 	return "", fmt.Errorf("no management address in %q", line)
 }
 
-// FollowProcess polls the process of a sidecar that serves from now on.
+// FollowProcess starts polling the process of a sidecar. ready is the line that the process printed when it was ready.
 func (m *Network) FollowProcess(endpoint *Endpoint, c *process.Child, ready string) error {
 	addr, err := managementAddr(ready)
 	if err != nil {
@@ -65,22 +66,23 @@
 	return nil
 }
 
-// RecordLeaving records that a process has been sent SIGTERM.
+// RecordLeaving records that a process was sent SIGTERM. After the end of the run it does nothing.
 func (m *Network) RecordLeaving(c *process.Child) {
 	m.mu.Lock()
 	serial, ok := m.serials[c]
 	m.mu.Unlock()
-	if ok && m.ctx.Err() == nil { // else the run is over
+	if ok && m.ctx.Err() == nil {
 		m.record(record.None, serial, invariant.MemberLeaves)
 	}
 }
 
+// record adds an event about a process to the records of the run.
 func (m *Network) record(party int, serial uint64, note string) {
 	m.run.Events.Add(record.Event{Kind: record.MemberProcess, Sidecar: int32(party), Server: record.None, Class: record.None,
 		Sum: serial, Note: note})
 }
 
-// pollProcess asks a process for its view of the fleet, until it ends or the run does.
+// pollProcess polls the membership view of a process until the process or the run ends.
 func (m *Network) pollProcess(endpoint *Endpoint, c *process.Child, addr string) {
 	m.mu.Lock()
 	m.lastSerial++
@@ -108,7 +110,7 @@
 	defer t.Stop()
 	for {
 		if err := memberPoller.poll(ctx); err != nil && ctx.Err() == nil {
-			m.run.Log.Debug("lab: a member does not answer", "member", endpoint.party, "err", err)
+			m.run.Log.Debug("lab: poll of member failed", "member", endpoint.party, "err", err)
 		}
 		select {
 		case <-t.C:
@@ -118,22 +120,23 @@
 	}
 }
 
+// memberID identifies one process of a member by name and start time.
 type memberID struct {
 	name  string
 	start int64
 }
 
-// poller records the view of one process.
+// poller polls the membership view of one process and records it.
 type poller struct {
 	network  *Network
 	party    int
 	serial   uint64
 	url      string
 	client   *http.Client
-	statuses map[memberID]string // of each member, in the answer before
+	statuses map[memberID]string // status of each member in the previous response
 }
 
-// poll asks once and records the answer.
+// poll requests the view once and records the response.
 func (p *poller) poll(ctx context.Context) error {
 	called := p.network.run.Events.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.url, nil)
@@ -160,7 +163,7 @@
 	return nil
 }
 
-// record records an answer, and the members whose status is another than in the answer before.
+// record records a response, and the status of each member whose status differs from the previous response.
 func (p *poller) record(called, answered time.Duration, got *membersResponse) {
 	event := record.Event{T: answered, Kind: record.MembershipStatus, Sidecar: int32(p.party), Sum: p.serial,
 		Want: uint64(answered - called), N: got.Self.Start, Status: int32(got.View.Known), Attempt: int16(got.View.Reachable), Work: got.EstimatedSize,
--- a/internal/lab/members/result.go
+++ b/internal/lab/members/result.go
@@ -12,30 +12,32 @@
 	"marblelane/internal/lab/report"
 )
 
-// processHistory is one process as its records show it.
+// processHistory is the recorded history of one process.
 type processHistory struct {
 	party                 int32
 	served, leaves, ended time.Duration
-	responses               []record.Event
+	responses             []record.Event
 	statuses              map[memberID][]status
 }
 
+// status is a state of a member as another process reported it.
 type status struct {
 	at    time.Duration
 	state string
 }
 
+// never is the time of an event that did not happen.
 const never = time.Duration(1<<63 - 1)
 
-// resultReader gathers the result from the records.
+// resultReader computes the result from the records.
 type resultReader struct {
 	facts      *invariant.Members
 	processes  []*processHistory
-	lastChange time.Duration // when the last thing happened to a process or link
+	lastChange time.Duration // last start or end of a process or a membership fault
 	out        *report.MembersResult
 }
 
-// Facts are what the invariants hold the run against.
+// Facts returns the properties of the run that the invariants are checked with.
 func (m *Network) Facts() *invariant.Members {
 	p, s := m.run.Plan, m.run.Scenario
 	facts := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.PeerCount()}
@@ -58,10 +60,11 @@
 	return facts
 }
 
-// falseProofRecovery is how long after a false refusal a process that was counted out may take to be counted again.
+// falseProofRecovery is the time after a false refusal within which a process that others counted as gone must be
+// counted as a member again.
 const falseProofRecovery = 15 * time.Second
 
-// Result reads what the members knew of each other from the events of a run, by time.
+// Result computes what the members knew of each other from the events of a run, which are ordered by time.
 func Result(events []record.Event, facts *invariant.Members) *report.MembersResult {
 	r := &resultReader{facts: facts, out: &report.MembersResult{AgreeMS: -1}}
 	r.readEvents(events)
@@ -127,14 +130,15 @@
 	r.out.Processes = len(r.processes)
 }
 
-// isMembershipFault tells whether a fault is one of members or of their links.
+// isMembershipFault reports whether a fault concerns members or the links between them.
 func isMembershipFault(note string) bool {
 	return strings.HasPrefix(note, "members-") || strings.HasPrefix(note, "sidecar") || strings.HasPrefix(note, "copy-")
 }
 
+// name returns the member name of a process.
 func (r *resultReader) name(p *processHistory) string { return r.facts.Names[p.party] }
 
-// lastID is the last that a process called itself.
+// lastID returns the identity in the last response of a process; false if it never responded.
 func (r *resultReader) lastID(p *processHistory) (memberID, bool) {
 	if len(p.responses) == 0 {
 		return memberID{}, false
@@ -142,10 +146,11 @@
 	return memberID{r.name(p), p.responses[len(p.responses)-1].N}, true
 }
 
-// timeToState is how long after a time a process first said one of some standings of a member.
+// timeToState returns the time after from until the process first reported a member in one of the states; false if
+// never.
 func (p *processHistory) timeToState(id memberID, from time.Duration, states ...string) (time.Duration, bool) {
 	for i, s := range p.statuses[id] {
-		later := never // until then it stands so
+		later := never // end of this status
 		if i+1 < len(p.statuses[id]) {
 			later = p.statuses[id][i+1].at
 		}
@@ -156,7 +161,7 @@
 	return 0, false
 }
 
-// death measures how the end of a process became known to the others.
+// measureEnd measures how long the other processes took to notice the end of a process.
 func (r *resultReader) measureEnd(p *processHistory) {
 	id, ok := r.lastID(p)
 	if !ok || p.ended == never {
@@ -173,7 +178,7 @@
 		add := func(t *report.Times, from time.Duration, states ...string) {
 			d, ok := q.timeToState(id, from, states...)
 			if !ok && (q.ended != never || q.leaves != never) {
-				return // it did not live to see it
+				return // the observer ended or left first
 			}
 			t.Add(d, ok)
 		}
@@ -186,22 +191,23 @@
 	}
 }
 
-// causeWindow is how long ago a fault may have ended that explains why a living process is taken for silent.
+// causeWindow is the time after a fault's end during which the fault still explains that a live process is reported
+// silent.
 const causeWindow = 15 * time.Second
 
-// countFalseSuspicions counts how often others took a living process for silent or gone.
+// countFalseSuspicions counts how often other processes reported a live process as silent or gone.
 func (r *resultReader) countFalseSuspicions(p *processHistory, events []record.Event) {
 	for _, q := range r.processes {
 		if q == p {
 			continue
 		}
-		for id, all := range q.statuses { // a member that was only named by others is silent until its first message
+		for id, all := range q.statuses { // a member known only from others is silent until its first message
 			if id.name != r.name(p) {
 				continue
 			}
 			i := slices.IndexFunc(p.responses, func(e record.Event) bool { return e.N == id.start })
 			if i < 0 {
-				continue // of another process of its name
+				continue // another process of the same name
 			}
 			last := p.responses[i].T
 			for _, e := range p.responses[i:] {
@@ -225,16 +231,17 @@
 	}
 }
 
-// blocksMessages tells whether a fault keeps some from hearing others.
+// blocksMessages reports whether a fault keeps messages of some members from others.
 func blocksMessages(note string) bool {
 	return slices.ContainsFunc([]string{"members-cut", "members-refuse", "copy-freeze"}, func(kind string) bool {
 		return strings.HasPrefix(note, kind)
 	})
 }
 
-// explainedByFault tells whether a fault explains that one process got no message of another: one was frozen, or links were cut.
+// explainedByFault reports whether a fault explains that one process got no message of the other: either was frozen, or
+// links were cut.
 func (r *resultReader) explainedByFault(events []record.Event, p, q *processHistory, at time.Duration) bool {
-	faultEnds := map[string]time.Duration{} // what is there, and when it ended
+	faultEnds := map[string]time.Duration{} // end of each fault so far; never: still active
 	for i := range events {
 		e := &events[i]
 		if e.T > at {
@@ -245,7 +252,7 @@
 			key := fmt.Sprint("frozen ", e.Sidecar)
 			if e.Note == invariant.Frozen {
 				faultEnds[key] = never
-			} else if faultEnds[key] == never { // it goes on, or it is killed
+			} else if faultEnds[key] == never { // resumed or killed
 				faultEnds[key] = e.T
 			}
 		case e.Kind == record.Fault && blocksMessages(e.Note):
@@ -263,7 +270,7 @@
 	return false
 }
 
-// measureJoining measures how long a process that came during the run waited until it was admitted.
+// measureJoining measures how long a process that started during the run waited for its admission.
 func (r *resultReader) measureJoining(p *processHistory) {
 	if slices.ContainsFunc(p.responses, func(e record.Event) bool { return e.Class == 1 }) {
 		r.out.Forced++
@@ -281,10 +288,11 @@
 	}
 }
 
-// findAgreement finds when all counted the same after the last thing that happened, and what they counted at the end.
+// findAgreement finds when all live processes first counted the same members after the last change, and their counts at
+// the end of the run.
 func (r *resultReader) findAgreement() {
 	var living []*processHistory
-	sidecars := 0 // that live; the replicas of the registry are members that are not counted
+	sidecars := 0 // live sidecars; registry replicas are members, but the counts leave them out
 	for _, p := range r.processes {
 		if p.ended == never && p.leaves == never && len(p.responses) > 0 {
 			living = append(living, p)
--- a/internal/lab/rollouts/driver.go
+++ b/internal/lab/rollouts/driver.go
@@ -1,5 +1,5 @@
-// Package rollouts is what the tenants and operators of a run do with its routes: rollouts, orders and audit queries, the
-// record of the answers, and the result.
+// Package rollouts drives the routes of a run as its tenants and operators do. It posts rollouts, route commands and
+// audit queries, records the responses, and computes the result.
 package rollouts
 
 import (
@@ -27,31 +27,31 @@
 	"marblelane/internal/route"
 )
 
-// Driver posts the rollouts of a scenario, sends the orders of tenants and operators, and records what the registry answers.
-// It calls the replicas directly, without the links whose faults concern sidecars.
+// Driver posts the rollouts of a scenario, sends the route commands of tenants and operators, and records the responses
+// of the registry. It calls the replicas directly, not through the links whose faults affect sidecars.
 type Driver struct {
 	run      *harness.Run
 	registry *cluster.Cluster
-	epoch    time.Time // the wall clock at the run's beginning
+	epoch    time.Time // wall-clock time at the start of the run
 
 	mu           sync.Mutex
-	newestRev    int64              // of any table that was published
-	newestClosed int64              // the newest revision said to be closed
-	revisions    map[int64]bool     // of all tables that were published
-	postedAfter  []int64            // by rollout: see invariant.Rollout; -1: it was not posted
-	rejections   []string           // by rollout, why it was not taken; empty: it was
-	rolloutViews        []rolloutView      // by rollout, the newest
-	finalPhases  []string           // by rollout, the phase as the leader has it at the end
-	auditAnswers      []invariant.Answer // of the audit
-	auditQueries int                // that were answered
-	failures     []string
-	stalls       []invariant.Span
-
-	nextReplica atomic.Int64 // that is called next
+	newestRev    int64              // newest revision of the published tables
+	newestClosed int64              // newest revision reported as closed
+	revisions    map[int64]bool     // revisions of all published tables
+	postedAfter  []int64            // by rollout: invariant.Rollout.After; -1: not posted or rejected
+	rejections   []string           // by rollout: reason of the rejection; empty: accepted
+	rolloutViews []rolloutView      // by rollout: newest state reported
+	finalPhases  []string           // by rollout: phase on the leader at the end
+	auditAnswers []invariant.Answer // verdicts of the audit queries
+	auditQueries int                // number of audit queries with a response
+	failures     []string           // unexpected responses of the registry
+	stalls       []invariant.Span   // spans in which timers of the lab were late
+
+	nextReplica atomic.Int64 // counter for calling the replicas in turn
 	wg          sync.WaitGroup
 }
 
-// New is a driver for a run that begins now.
+// New returns a driver for a started run.
 func New(r *harness.Run, registry *cluster.Cluster) *Driver {
 	n := len(r.Scenario.Rollouts)
 	driver := &Driver{run: r, registry: registry, epoch: time.Now().Add(-r.Elapsed()), revisions: map[int64]bool{}, postedAfter: make([]int64, n),
@@ -62,10 +62,10 @@
 	return driver
 }
 
-// pollInterval is the time between two polls of the rollouts of a tenant.
+// pollInterval is the time between two polls of a tenant's rollouts, and between retries of a call.
 const pollInterval = 50 * time.Millisecond
 
-// Drive posts the rollouts, orders and audit queries of the scenario, until ctx ends.
+// Drive sends the rollouts, route commands and audit queries of the scenario at their times, until ctx ends.
 func (d *Driver) Drive(ctx context.Context) {
 	d.wg.Go(func() { d.recordStalls(ctx) })
 	for _, c := range d.registry.Replicas {
@@ -98,10 +98,10 @@
 	d.wg.Wait()
 }
 
-// maxTimerLag is how late a timer of the lab may be before it is recorded as a stall.
+// maxTimerLag is the maximum lateness of a timer of the lab. A later timer is recorded as a stall.
 const maxTimerLag = 20 * time.Millisecond
 
-// recordStalls records when the timers of the lab were late, until ctx ends.
+// recordStalls records the spans in which timers of the lab were late, until ctx ends.
 func (d *Driver) recordStalls(ctx context.Context) {
 	const every = 5 * time.Millisecond
 	for {
@@ -117,17 +117,19 @@
 	}
 }
 
+// sleepUntil sleeps until a time of the run. It returns false if ctx ends first.
 func (d *Driver) sleepUntil(ctx context.Context, at scenario.Duration) bool {
 	return harness.Sleep(ctx, at.Duration()-d.run.Elapsed())
 }
 
+// fail records a failure, which the result lists as a missed expectation.
 func (d *Driver) fail(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failures = append(d.failures, fmt.Sprintf(format, args...))
 }
 
-// watchReplica watches the tables of a replica, and records each.
+// watchReplica watches the tables of a replica and records each table, until ctx ends.
 func (d *Driver) watchReplica(ctx context.Context, c *cluster.Replica) {
 	after := int64(0)
 	for ctx.Err() == nil {
@@ -136,6 +138,7 @@
 	}
 }
 
+// watchOnce watches the tables of a replica until the connection fails. It sets after to the newest revision recorded.
 func (d *Driver) watchOnce(ctx context.Context, c *cluster.Replica, after *int64) {
 	url := fmt.Sprintf("http://%s%s?watch=1&schema=%d&after=%d", c.Address, route.TablePath, route.Newest, *after)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -161,7 +164,8 @@
 	}
 }
 
-// routeTable is what the lab reads of a routing routeTable. It is lenient, so that the invariants judge and not the decoder.
+// routeTable has the fields of a route table that the lab reads. Decoding is lenient, so that bad values reach the
+// invariants instead of failing here.
 type routeTable struct {
 	Rev    int64 `json:"rev"`
 	Closed int64 `json:"closed"`
@@ -173,7 +177,7 @@
 	} `json:"routes"`
 }
 
-// recordTable records a table.
+// recordTable records a table with its canary fractions and returns its revision; 0 if it cannot be decoded.
 func (d *Driver) recordTable(replica int, line []byte) int64 {
 	var t routeTable
 	if json.Unmarshal(line, &t) != nil {
@@ -196,7 +200,7 @@
 	return t.Rev
 }
 
-// recordClosed records that a replica called a revision closed.
+// recordClosed records that a replica reported a revision as closed, if no newer one was reported before.
 func (d *Driver) recordClosed(replica int, rev int64) {
 	d.mu.Lock()
 	isNew := rev > d.newestClosed
@@ -207,12 +211,12 @@
 	}
 }
 
-// rolloutIndex is the index of a rollout in the scenario; -1: it has none.
+// rolloutIndex returns the index of a rollout in the scenario; -1 if the scenario does not have it.
 func (d *Driver) rolloutIndex(tenant, name string) int {
 	return slices.IndexFunc(d.run.Scenario.Rollouts, func(p scenario.Rollout) bool { return p.Tenant == tenant && p.Name == name })
 }
 
-// Request is a rollout as it is posted.
+// Request is the body of a request that starts a rollout.
 type Request struct {
 	To      string         `json:"to"`
 	Classes []string       `json:"classes,omitempty"`
@@ -222,7 +226,8 @@
 	AtEnd   string         `json:"at_end"`
 }
 
-// call calls each replica in turn until one answers. A rejection is an answer.
+// call sends a request to each replica in turn until one responds. A rejection counts as a response, status codes 429
+// and from 500 on do not. It returns code 0 if ctx ends first.
 func (d *Driver) call(ctx context.Context, method, path string, body any) (code int, text []byte) {
 	data, err := json.Marshal(body)
 	if err != nil || body == nil {
@@ -235,14 +240,14 @@
 		if err == nil && code < 500 && code != http.StatusTooManyRequests {
 			return code, text
 		}
-		d.run.Log.Debug("lab: call of the routes failed", "path", path, "code", code, "answer", string(text), "err", err)
+		d.run.Log.Debug("lab: request to the route service failed", "path", path, "code", code, "answer", string(text), "err", err)
 		if !harness.Sleep(ctx, pollInterval) {
 			return 0, nil
 		}
 	}
 }
 
-// postRollout posts a rollout at its time.
+// postRollout posts a rollout at its scheduled time.
 func (d *Driver) postRollout(ctx context.Context, n int, p *scenario.Rollout) {
 	if !d.sleepUntil(ctx, p.At) {
 		return
@@ -273,7 +278,7 @@
 	}
 }
 
-// sendCommand sends an order of a tenant or operator at its time.
+// sendCommand sends a route command of a tenant or operator at its scheduled time.
 func (d *Driver) sendCommand(ctx context.Context, command *scenario.RouteCommand) {
 	if !d.sleepUntil(ctx, command.At) {
 		return
@@ -290,16 +295,17 @@
 	}
 	code, text := d.call(ctx, http.MethodPost, path, body)
 	if code != 0 && (code != http.StatusOK) != command.ExpectRejected {
-		d.fail("the order %s at %v is answered %d %s", command.Action, command.At.Duration(), code, strings.TrimSpace(string(text)))
+		d.fail("route command %s at %v: unexpected response %d %s", command.Action, command.At.Duration(), code, strings.TrimSpace(string(text)))
 	}
 }
 
-// tenantView is what the lab reads of the routes of a tenant.
+// tenantView has the fields of a tenant's routes that the lab reads.
 type tenantView struct {
 	Closed   int64         `json:"closed"`
 	Rollouts []rolloutView `json:"rollouts"`
 }
 
+// rolloutView has the fields of a rollout's state that the lab reads.
 type rolloutView struct {
 	Name    string        `json:"name"`
 	Phase   rollout.Phase `json:"phase"`
@@ -311,7 +317,7 @@
 	Spent   int64         `json:"spent"`
 }
 
-// pollTenant polls the rollouts of a tenant at each replica in turn, and records changes.
+// pollTenant polls the rollouts of a tenant at each replica in turn and records their changes, until ctx ends.
 func (d *Driver) pollTenant(ctx context.Context, tenant string) {
 	for i := 0; harness.Sleep(ctx, pollInterval); i++ {
 		c := d.registry.Replicas[i%len(d.registry.Replicas)]
@@ -322,11 +328,11 @@
 	}
 }
 
-// recordTenant records the rollouts of a tenant as a replica answered them.
+// recordTenant records the changed rollouts in a replica's response about a tenant.
 func (d *Driver) recordTenant(replica int, tenant string, text []byte) {
 	var t tenantView
 	if err := json.Unmarshal(text, &t); err != nil {
-		d.fail("the routes of %s cannot be read: %v", tenant, err)
+		d.fail("decode routes of tenant %s: %v", tenant, err)
 		return
 	}
 	d.recordClosed(replica, t.Closed)
@@ -346,10 +352,11 @@
 	}
 }
 
-// queryAudit asks the audit who acted on a revision between two times of the run, and keeps the answer.
+// queryAudit queries the audit for the processes that acted on a revision between two times of the run, and stores the
+// verdicts.
 func (d *Driver) queryAudit(ctx context.Context, rev int64, from, to time.Duration) {
 	from = max(from, 0)
-	// Whole milliseconds, inwards: the answer is for no more than was asked.
+	// Round inwards to whole milliseconds, so that the query covers no more than the given span.
 	fromMS, toMS := d.epoch.Add(from).UnixMilli()+1, d.epoch.Add(to).UnixMilli()
 	code, text := d.call(ctx, http.MethodGet, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, fromMS, toMS), nil)
 	if code == 0 {
@@ -359,7 +366,7 @@
 		Answers []audit.ProcessVerdict `json:"answers"`
 	}
 	if err := json.Unmarshal(text, &got); code != http.StatusOK || err != nil {
-		d.fail("the audit of revision %d is answered %d %s, %v", rev, code, strings.TrimSpace(string(text)), err)
+		d.fail("audit of revision %d: unexpected response %d %s, decode error: %v", rev, code, strings.TrimSpace(string(text)), err)
 		return
 	}
 	d.mu.Lock()
@@ -372,16 +379,17 @@
 }
 
 const (
-	collectTimeout      = 15 * time.Second
-	maxAuditedRevisions = 12 // revisions that are audited at the end
-	auditWindows        = 6  // of each
+	collectTimeout      = 15 * time.Second // for all requests of Collect
+	maxAuditedRevisions = 12               // maximum revisions audited at the end
+	auditWindows        = 6                // random time windows queried for each revision
 )
 
-// Collect reads, with the traffic over and the sidecars still running, the final phases and the answers of the audit.
+// Collect reads the final phases of the rollouts and queries the audit. It is called after the end of the traffic,
+// while the sidecars still run.
 func (d *Driver) Collect(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
-	harness.Sleep(ctx, time.Second) // the last attempts are in the next report
+	harness.Sleep(ctx, time.Second) // the next load report covers the last attempts
 	endedAt := d.run.Elapsed()
 	tenants := map[string]bool{}
 	for i := range d.run.Scenario.Rollouts {
@@ -391,7 +399,7 @@
 		d.readFinalPhases(ctx, tenant)
 	}
 	if broken := d.run.Scenario.Expect.MustBreak; len(broken) > 0 && !slices.Contains(broken, invariant.AuditTrue) {
-		return // what is planted misleads the audit too
+		return // the planted defect misleads the audit too
 	}
 	d.mu.Lock()
 	revs := slices.Sorted(maps.Keys(d.revisions))
@@ -413,7 +421,7 @@
 	}
 }
 
-// readFinalPhases asks the leader for the rollouts of a tenant.
+// readFinalPhases reads the phases of a tenant's rollouts from the leader and retries until it responds or ctx ends.
 func (d *Driver) readFinalPhases(ctx context.Context, tenant string) {
 	for {
 		if leader := d.registry.Leader(ctx); leader != nil {
@@ -421,7 +429,7 @@
 			if err == nil && code == http.StatusOK {
 				d.recordTenant(leader.Number, tenant, text)
 				var t tenantView
-				_ = json.Unmarshal(text, &t) // said above
+				_ = json.Unmarshal(text, &t) // recordTenant reported the error
 				for _, one := range t.Rollouts {
 					if n := d.rolloutIndex(tenant, one.Name); n >= 0 {
 						d.finalPhases[n] = string(one.Phase)
@@ -436,7 +444,7 @@
 	}
 }
 
-// delaysTraffic tells whether messages of a sidecar may be late or lost under a fault.
+// delaysTraffic reports whether a fault may delay or lose messages of a sidecar.
 func delaysTraffic(f *scenario.Fault) bool {
 	switch f.Kind {
 	case "cut", "latency", "bandwidth", "lose", "reset", "refuse", "half-close", "break", "accept-late":
@@ -447,10 +455,10 @@
 	return false
 }
 
-// faultRecovery is how long after a fault a delayed message may still arrive.
+// faultRecovery is the time after the end of a fault during which a delayed message may still arrive.
 const faultRecovery = time.Second
 
-// Facts are what the invariants hold the run against.
+// Facts returns the properties of the run that the invariants are checked with.
 func (d *Driver) Facts() *invariant.Routes {
 	p, s := d.run.Plan, d.run.Scenario
 	facts := &invariant.Routes{Answers: d.auditAnswers, LabStalls: d.stalls, Epoch: d.epoch.UnixNano(),
@@ -484,7 +492,7 @@
 	return facts
 }
 
-// RecordSentTable records the closed revision of a table that a sidecar was sent.
+// RecordSentTable records the closed revision of a table that was sent to a sidecar.
 func (d *Driver) RecordSentTable(line []byte) {
 	var t routeTable
 	if json.Unmarshal(line, &t) == nil {
--- a/internal/lab/rollouts/result.go
+++ b/internal/lab/rollouts/result.go
@@ -10,10 +10,10 @@
 	"marblelane/internal/lab/report"
 )
 
-// firstPermissionTime is how long sidecars may take to ask for their first permission after the first table.
+// firstPermissionTime is the time that sidecars may take after the first table to request their first permission.
 const firstPermissionTime = time.Second
 
-// Result is what became of the rollouts.
+// Result computes the outcome of the rollouts from the records and the verdict of the invariants.
 func (d *Driver) Result(all []record.Event, facts *invariant.Routes, v *invariant.Verdict) *report.RoutesResult {
 	out := &report.RoutesResult{AuditAnswers: d.auditQueries, Verdicts: map[string]int{}, Tables: len(d.revisions), Missed: d.failures}
 	for _, a := range d.auditAnswers {
@@ -34,7 +34,7 @@
 	return out
 }
 
-// publishedStep is the fraction of a step as a table published it.
+// publishedStep is a step of a rollout with the canary fraction that a table published for it.
 type publishedStep struct {
 	rollout, step int
 	fraction      float64
@@ -43,10 +43,11 @@
 // fractionCount counts the first attempts of requests by the canary fractions of their revision.
 type fractionCount struct {
 	published map[int64][]publishedStep // by revision
-	running   map[int]invariant.Span    // by tenant, while a rollout is under way
+	running   map[int]invariant.Span    // by tenant: the span in which a rollout is running
 	closed    int64
 }
 
+// countFractions adds the measured canary fraction of each step to the result, and the fraction of held attempts.
 func (d *Driver) countFractions(out *report.RoutesResult, events []record.Event, facts *invariant.Routes) {
 	counter := &fractionCount{published: map[int64][]publishedStep{}, running: map[int]invariant.Span{}}
 	counter.readTables(events, facts)
@@ -77,7 +78,7 @@
 	}
 }
 
-// addAttempt counts an attempt under the first fraction that was published of its step.
+// addAttempt counts an attempt for its step, with the first fraction published for the step.
 func addAttempt(sums map[publishedStep]*report.StepFraction, t publishedStep, canary bool) {
 	key := publishedStep{rollout: t.rollout, step: t.step}
 	s := sums[key]
@@ -91,7 +92,8 @@
 	}
 }
 
-// readTables reads which fractions were published under which revision, and when the rollouts of each tenant were under way.
+// readTables reads the fractions published with each revision and the span in which each tenant's rollouts were
+// running.
 func (c *fractionCount) readTables(events []record.Event, facts *invariant.Routes) {
 	for i := range events {
 		switch e := &events[i]; e.Kind {
@@ -117,7 +119,7 @@
 	}
 }
 
-// heldFraction is the fraction of attempts without permission while a rollout of their tenant was under way.
+// heldFraction returns the fraction of attempts sent without permission while a rollout of their tenant was running.
 func (d *Driver) heldFraction(running map[int]invariant.Span, events []record.Event) float64 {
 	held, attempts := 0, 0
 	for i := range events {
--- a/internal/lab/rollouts/rollback_defect.go
+++ b/internal/lab/rollouts/rollback_defect.go
@@ -5,20 +5,21 @@
 	"sync"
 )
 
-// RollbackDefect plays a registry whose new leader has forgotten a rollback: from the first table without the canary of a
-// rollout on, sidecars are sent the former canary under the new revision. It rewrites lines in the proxy, as the other
-// planted defects do.
+// RollbackDefect simulates a registry whose new leader has lost a rollback. From the first table without the canary of
+// a rollout on, sidecars are sent the former canary under the new revision. Like the other planted defects, it rewrites
+// lines in the proxy.
 type RollbackDefect struct {
 	mu         sync.Mutex
-	lastCanary map[string]json.RawMessage // the route of each tenant that had a canary
+	lastCanary map[string]json.RawMessage // last route with a canary, by tenant
 }
 
-// NewRollbackDefect is a defect that has seen no table.
+// NewRollbackDefect returns a defect that has seen no table.
 func NewRollbackDefect() *RollbackDefect {
 	return &RollbackDefect{lastCanary: map[string]json.RawMessage{}}
 }
 
-// Rewrite is the line that the sidecar is sent in place of a line of the registry.
+// Rewrite returns the line to send to the sidecar in place of a line of the registry. A line that is not a route table
+// is returned unchanged.
 func (d *RollbackDefect) Rewrite(line []byte) []byte {
 	var t map[string]json.RawMessage
 	var routes []json.RawMessage
@@ -38,12 +39,12 @@
 		}
 		present[one.Tenant] = true
 		if one.Fraction > 0 {
-			var withoutBudget map[string]any // of the budget: the true service grants nothing for it any more
+			var withoutBudget map[string]any // the real service no longer grants budget for the rollout
 			if json.Unmarshal(text, &withoutBudget) != nil {
 				return line
 			}
 			delete(withoutBudget, "budget")
-			d.lastCanary[one.Tenant], _ = json.Marshal(withoutBudget) // what was read can be written
+			d.lastCanary[one.Tenant], _ = json.Marshal(withoutBudget) // cannot fail: the value was decoded from JSON
 		} else if former := d.lastCanary[one.Tenant]; former != nil {
 			routes[i] = former
 		}
--- a/internal/lab/rollouts/rollback_defect_test.go
+++ b/internal/lab/rollouts/rollback_defect_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The registry that has forgotten a rollback sends the canary of before under the new revision, and nothing
-// while there is one.
+// A registry that has lost a rollback sends the former canary under the new revision. Tables with a canary are sent
+// unchanged.
 func TestRollbackDefect_sendsFormerCanary(t *testing.T) {
 	u := NewRollbackDefect()
 	running := `{"rev":7,"closed":0,"routes":[{"tenant":"a","share":0.5,"rollout":"fresh","budget":true}]}`
