--- a/internal/lab/gossip/gossip_test.go
+++ b/internal/lab/gossip/gossip_test.go
@@ -60,8 +60,8 @@
 		assert.Negative(t, sendAndReceive(t, a, b), "the direction is cut")
 		assert.Positive(t, sendAndReceive(t, b, a), "the other direction is not cut")
 		n.Heal()
-		for _, part := range []map[netip.AddrPort]int{{a.Addr(): 1}, {b.Addr(): 1}} {
-			n.Partition(part)
+		for _, partitions := range []map[netip.AddrPort]int{{a.Addr(): 1}, {b.Addr(): 1}} {
+			n.Partition(partitions)
 			assert.Negative(t, sendAndReceive(t, a, b))
 			assert.Negative(t, sendAndReceive(t, b, a))
 		}
@@ -106,31 +106,31 @@
 	synctest.Test(t, func(t *testing.T) {
 		n, a, b := openPair(t, Rules{Delay: 10 * time.Millisecond})
 		started := time.Now()
-		mine, err := a.DialTimeout(b.Addr().String(), time.Second)
+		local, err := a.DialTimeout(b.Addr().String(), time.Second)
 		require.NoError(t, err)
 		assert.Equal(t, 20*time.Millisecond, time.Since(started))
-		its := <-b.StreamCh()
-		assert.Equal(t, a.Addr().String(), its.RemoteAddr().String())
+		remote := <-b.StreamCh()
+		assert.Equal(t, a.Addr().String(), remote.RemoteAddr().String())
 		sent := bytes.Repeat([]byte("x"), 3<<20) // more than maxBufferedBytes
 		go func() {
 			for part := range slices.Chunk(sent, 64<<10) {
-				_, err := mine.Write(part)
+				_, err := local.Write(part)
 				assert.NoError(t, err)
 			}
-			assert.NoError(t, mine.Close())
+			assert.NoError(t, local.Close())
 		}()
 		n.SetLink(a.Addr(), b.Addr(), Rules{Cut: true})
-		require.NoError(t, its.SetReadDeadline(time.Now().Add(time.Second)))
-		_, err = its.Read(make([]byte, 1))
+		require.NoError(t, remote.SetReadDeadline(time.Now().Add(time.Second)))
+		_, err = remote.Read(make([]byte, 1))
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "blocked by the cut")
 		n.Heal()
-		require.NoError(t, its.SetDeadline(time.Time{}))
-		got, err := io.ReadAll(its)
+		require.NoError(t, remote.SetDeadline(time.Time{}))
+		got, err := io.ReadAll(remote)
 		require.NoError(t, err)
 		assert.Len(t, got, len(sent))
-		_, err = its.Write([]byte("y"))
+		_, err = remote.Write([]byte("y"))
 		require.ErrorIs(t, err, syscall.ECONNRESET)
-		require.NoError(t, its.Close())
+		require.NoError(t, remote.Close())
 		assert.EqualValues(t, len(sent), b.Counts().ReceivedBytes)
 	})
 }
@@ -191,11 +191,11 @@
 		const count = 12
 		n := New(1, Rules{Loss: 0.05, Delay: time.Millisecond})
 		var all []*memberlist.Memberlist
-		part := map[netip.AddrPort]int{}
+		partitions := map[netip.AddrPort]int{}
 		for i := range count {
 			p, err := n.Open(Addr(i))
 			require.NoError(t, err)
-			part[Addr(i)] = i % 2
+			partitions[Addr(i)] = i % 2
 			c := memberlist.DefaultLocalConfig()
 			c.Name, c.Transport, c.Logger = fmt.Sprint(i), p, log.New(io.Discard, "", 0)
 			m, err := memberlist.Create(c)
@@ -216,7 +216,7 @@
 			}
 		}
 		await(count, all)
-		n.Partition(part)
+		n.Partition(partitions)
 		await(count/2, all)
 		n.Heal()
 		for _, m := range all[1:] {
--- a/internal/lab/members/network.go
+++ b/internal/lab/members/network.go
@@ -226,8 +226,7 @@
 }
 
 // reservePort binds the port of an endpoint that does not listen, so that no other process gets the port and
-// connections are still refused. While old connections linger, bind fails; the connections themselves then reserve the
-// port.
+// connections are still refused. While old connections linger, bind fails and is not needed.
 func (e *Endpoint) reservePort() {
 	if e.reservedFD >= 0 {
 		return
--- a/internal/lab/members/result.go
+++ b/internal/lab/members/result.go
@@ -34,7 +34,7 @@
 	facts      *invariant.Members
 	processes  []*processHistory
 	lastChange time.Duration // last start or end of a process or a membership fault
-	out        *report.MembersResult
+	result     *report.MembersResult
 }
 
 // Facts returns the properties of the run that the invariants are checked with.
@@ -66,11 +66,11 @@
 
 // Result computes what the members knew of each other from the events of a run, which are ordered by time.
 func Result(events []record.Event, facts *invariant.Members) *report.MembersResult {
-	r := &resultReader{facts: facts, out: &report.MembersResult{AgreeMS: -1}}
+	r := &resultReader{facts: facts, result: &report.MembersResult{AgreeMS: -1}}
 	r.readEvents(events)
 	for _, one := range invariant.QuotaMoments(events, facts) {
-		if one.Sum > r.out.MaxQuotaSum {
-			r.out.MaxQuotaSum, r.out.MaxQuotaSumAt = one.Sum, one.At.Seconds()
+		if one.Sum > r.result.MaxQuotaSum {
+			r.result.MaxQuotaSum, r.result.MaxQuotaSumAt = one.Sum, one.At.Seconds()
 		}
 	}
 	for _, p := range r.processes {
@@ -79,10 +79,10 @@
 		r.measureJoining(p)
 	}
 	r.findAgreement()
-	for _, t := range []*report.Times{&r.out.Noticed, &r.out.CountedOut, &r.out.Left, &r.out.Admitted} {
+	for _, t := range []*report.Times{&r.result.Noticed, &r.result.CountedOut, &r.result.Left, &r.result.Admitted} {
 		t.Summarize()
 	}
-	return r.out
+	return r.result
 }
 
 func (r *resultReader) readEvents(events []record.Event) {
@@ -108,12 +108,12 @@
 				continue
 			}
 			if n := len(p.responses); n > 0 {
-				if was := p.responses[n-1]; was.Status != e.Status || was.Attempt != e.Attempt || was.Canary != e.Canary {
-					r.out.Changes++
+				if previous := p.responses[n-1]; previous.Status != e.Status || previous.Attempt != e.Attempt || previous.Canary != e.Canary {
+					r.result.Changes++
 				}
 			}
 			p.responses = append(p.responses, *e)
-			r.out.Answers++
+			r.result.Answers++
 		case record.MemberStatus:
 			if p == nil {
 				continue
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	r.out.Processes = len(r.processes)
+	r.result.Processes = len(r.processes)
 }
 
 // isMembershipFault reports whether a fault concerns members or the links between them.
@@ -169,7 +169,7 @@
 	}
 	killed := p.leaves == never
 	if killed {
-		r.out.Deaths++
+		r.result.Deaths++
 	}
 	for _, q := range r.processes {
 		if q == p || q.served >= min(p.leaves, p.ended) || q.statuses[id] == nil {
@@ -183,11 +183,11 @@
 			t.Add(d, ok)
 		}
 		if !killed {
-			add(&r.out.Left, p.leaves, invariant.Gone, invariant.Absent)
+			add(&r.result.Left, p.leaves, invariant.Gone, invariant.Absent)
 			continue
 		}
-		add(&r.out.Noticed, p.ended, invariant.Silent, invariant.Gone, invariant.Absent)
-		add(&r.out.CountedOut, p.ended, invariant.Gone, invariant.Absent)
+		add(&r.result.Noticed, p.ended, invariant.Silent, invariant.Gone, invariant.Absent)
+		add(&r.result.CountedOut, p.ended, invariant.Gone, invariant.Absent)
 	}
 }
 
@@ -219,11 +219,11 @@
 				switch {
 				case s.at > last || s.at > p.leaves || k == 0 || all[k-1].state == invariant.Absent:
 				case s.state == invariant.Gone:
-					r.out.FalseGone++
+					r.result.FalseGone++
 				case s.state == invariant.Silent:
-					if r.out.FalseSilent++; !r.explainedByFault(events, p, q, s.at) {
-						r.out.FalseDeaths++
-						r.out.FalseOnes = append(r.out.FalseOnes, fmt.Sprintf("%s of %s at %.1f s", r.name(q), id.name, s.at.Seconds()))
+					if r.result.FalseSilent++; !r.explainedByFault(events, p, q, s.at) {
+						r.result.FalseDeaths++
+						r.result.FalseOnes = append(r.result.FalseOnes, fmt.Sprintf("%s of %s at %.1f s", r.name(q), id.name, s.at.Seconds()))
 					}
 				}
 			}
@@ -273,18 +273,18 @@
 // measureJoining measures how long a process that started during the run waited for its admission.
 func (r *resultReader) measureJoining(p *processHistory) {
 	if slices.ContainsFunc(p.responses, func(e record.Event) bool { return e.Class == 1 }) {
-		r.out.Forced++
+		r.result.Forced++
 	}
 	if p.served <= pollInterval || int(p.party) >= r.facts.Sidecars {
 		return
 	}
-	r.out.JoiningMembers++
+	r.result.JoiningMembers++
 	i := slices.IndexFunc(p.responses, func(e record.Event) bool { return e.Canary })
 	switch {
 	case i >= 0:
-		r.out.Admitted.Add(max(p.responses[i].T-p.served, 0), true)
+		r.result.Admitted.Add(max(p.responses[i].T-p.served, 0), true)
 	case p.ended == never:
-		r.out.Admitted.Add(0, false)
+		r.result.Admitted.Add(0, false)
 	}
 }
 
@@ -305,24 +305,24 @@
 		last := p.responses[len(p.responses)-1]
 		known, reachable := int(last.Status), int(last.Attempt)
 		if i == 0 {
-			r.out.Known, r.out.Reachable = [2]int{known, known}, [2]int{reachable, reachable}
+			r.result.Known, r.result.Reachable = [2]int{known, known}, [2]int{reachable, reachable}
 		}
-		r.out.Known = [2]int{min(r.out.Known[0], known), max(r.out.Known[1], known)}
-		r.out.Reachable = [2]int{min(r.out.Reachable[0], reachable), max(r.out.Reachable[1], reachable)}
+		r.result.Known = [2]int{min(r.result.Known[0], known), max(r.result.Known[1], known)}
+		r.result.Reachable = [2]int{min(r.result.Reachable[0], reachable), max(r.result.Reachable[1], reachable)}
 	}
-	type answer struct {
+	type observation struct {
 		of int
 		e  *record.Event
 	}
-	var settled []answer
+	var settled []observation
 	for i, p := range living {
 		for k := range p.responses {
 			if e := &p.responses[k]; e.T-time.Duration(e.Want) >= r.lastChange {
-				settled = append(settled, answer{i, e})
+				settled = append(settled, observation{i, e})
 			}
 		}
 	}
-	slices.SortFunc(settled, func(a, b answer) int { return cmp.Compare(a.e.T, b.e.T) })
+	slices.SortFunc(settled, func(a, b observation) int { return cmp.Compare(a.e.T, b.e.T) })
 	newest := map[int]*record.Event{}
 	for _, a := range settled {
 		newest[a.of] = a.e
@@ -334,7 +334,7 @@
 			agree = agree && e.Status == a.e.Status && int(e.Attempt) == sidecars
 		}
 		if agree {
-			r.out.AgreeMS = float64(a.e.T-r.lastChange) / float64(time.Millisecond)
+			r.result.AgreeMS = float64(a.e.T-r.lastChange) / float64(time.Millisecond)
 			return
 		}
 	}
--- a/internal/lab/rollouts/driver.go
+++ b/internal/lab/rollouts/driver.go
@@ -73,11 +73,11 @@
 	}
 	tenants := map[string]bool{}
 	for i := range d.run.Scenario.Rollouts {
-		post := &d.run.Scenario.Rollouts[i]
-		d.wg.Go(func() { d.postRollout(ctx, i, post) })
-		if !tenants[post.Tenant] {
-			tenants[post.Tenant] = true
-			d.wg.Go(func() { d.pollTenant(ctx, post.Tenant) })
+		rollout := &d.run.Scenario.Rollouts[i]
+		d.wg.Go(func() { d.postRollout(ctx, i, rollout) })
+		if !tenants[rollout.Tenant] {
+			tenants[rollout.Tenant] = true
+			d.wg.Go(func() { d.pollTenant(ctx, rollout.Tenant) })
 		}
 	}
 	for i := range d.run.Scenario.RouteCommands {
@@ -179,25 +179,25 @@
 
 // recordTable records a table with its canary fractions and returns its revision; 0 if it cannot be decoded.
 func (d *Driver) recordTable(replica int, line []byte) int64 {
-	var t routeTable
-	if json.Unmarshal(line, &t) != nil {
+	var table routeTable
+	if json.Unmarshal(line, &table) != nil {
 		return 0
 	}
-	e := record.Event{T: d.run.Events.Now(), Sidecar: record.None, Server: int32(replica), Class: record.None, Rev: t.Rev}
+	e := record.Event{T: d.run.Events.Now(), Sidecar: record.None, Server: int32(replica), Class: record.None, Rev: table.Rev}
 	e.Kind = record.RoutesObserved
 	d.run.Events.Add(e)
-	d.recordClosed(replica, t.Closed)
-	for _, one := range t.Routes {
+	d.recordClosed(replica, table.Closed)
+	for _, one := range table.Routes {
 		if n := d.rolloutIndex(one.Tenant, rollout.RolloutName(one.Rollout)); n >= 0 {
 			e.Kind, e.Status, e.Work, e.Attempt = record.RolloutFraction, int32(n), one.Fraction, int16(one.Step)
 			d.run.Events.Add(e)
 		}
 	}
 	d.mu.Lock()
-	d.newestRev = max(d.newestRev, t.Rev)
-	d.revisions[t.Rev] = true
+	d.newestRev = max(d.newestRev, table.Rev)
+	d.revisions[table.Rev] = true
 	d.mu.Unlock()
-	return t.Rev
+	return table.Rev
 }
 
 // recordClosed records that a replica reported a revision as closed, if no newer one was reported before.
@@ -330,22 +330,22 @@
 
 // recordTenant records the changed rollouts in a replica's response about a tenant.
 func (d *Driver) recordTenant(replica int, tenant string, text []byte) {
-	var t tenantView
-	if err := json.Unmarshal(text, &t); err != nil {
+	var view tenantView
+	if err := json.Unmarshal(text, &view); err != nil {
 		d.fail("decode routes of tenant %s: %v", tenant, err)
 		return
 	}
-	d.recordClosed(replica, t.Closed)
-	for _, one := range t.Rollouts {
+	d.recordClosed(replica, view.Closed)
+	for _, one := range view.Rollouts {
 		n := d.rolloutIndex(tenant, one.Name)
 		if n < 0 {
 			continue
 		}
 		d.mu.Lock()
-		was := d.rolloutViews[n]
+		previous := d.rolloutViews[n]
 		d.rolloutViews[n] = one
 		d.mu.Unlock()
-		if was.Rev != one.Rev || was.Phase != one.Phase || was.Step != one.Step || one.Left < 0 {
+		if previous.Rev != one.Rev || previous.Phase != one.Phase || previous.Step != one.Step || one.Left < 0 {
 			d.run.Events.Add(record.Event{Kind: record.RolloutPhase, Sidecar: record.None, Server: int32(replica), Class: record.None,
 				Rev: one.Rev, Status: int32(n), Attempt: int16(one.Step), N: one.Left, Note: string(one.Phase), Sum: uint64(one.Granted), Want: uint64(one.Spent)})
 		}
@@ -445,10 +445,10 @@
 }
 
 // delaysTraffic reports whether a fault may delay or lose messages of a sidecar.
-func delaysTraffic(f *scenario.Fault) bool {
-	switch f.Kind {
+func delaysTraffic(fault *scenario.Fault) bool {
+	switch fault.Kind {
 	case "cut", "latency", "bandwidth", "lose", "reset", "refuse", "half-close", "break", "accept-late":
-		return f.Link == "servers"
+		return fault.Link == "servers"
 	case "kill", "restart", "drain", "replace", "vanish", "hang", "idle-close", "reset-begun", "drop":
 		return true
 	}
@@ -494,8 +494,8 @@
 
 // RecordSentTable records the closed revision of a table that was sent to a sidecar.
 func (d *Driver) RecordSentTable(line []byte) {
-	var t routeTable
-	if json.Unmarshal(line, &t) == nil {
-		d.recordClosed(record.None, t.Closed)
+	var table routeTable
+	if json.Unmarshal(line, &table) == nil {
+		d.recordClosed(record.None, table.Closed)
 	}
 }
--- a/internal/lab/rollouts/result.go
+++ b/internal/lab/rollouts/result.go
@@ -15,9 +15,9 @@
 
 // Result computes the outcome of the rollouts from the records and the verdict of the invariants.
 func (d *Driver) Result(all []record.Event, facts *invariant.Routes, v *invariant.Verdict) *report.RoutesResult {
-	out := &report.RoutesResult{AuditAnswers: d.auditQueries, Verdicts: map[string]int{}, Tables: len(d.revisions), Missed: d.failures}
+	result := &report.RoutesResult{AuditAnswers: d.auditQueries, Verdicts: map[string]int{}, Tables: len(d.revisions), Missed: d.failures}
 	for _, a := range d.auditAnswers {
-		out.Verdicts[string(a.Verdict)]++
+		result.Verdicts[string(a.Verdict)]++
 	}
 	for i := range d.run.Scenario.Rollouts {
 		p := &d.run.Scenario.Rollouts[i]
@@ -28,10 +28,10 @@
 		if i < len(v.Failures) {
 			one.Failures = v.Failures[i]
 		}
-		out.Rollouts = append(out.Rollouts, one)
+		result.Rollouts = append(result.Rollouts, one)
 	}
-	d.countFractions(out, all, facts)
-	return out
+	d.countFractions(result, all, facts)
+	return result
 }
 
 // publishedStep is a step of a rollout with the canary fraction that a table published for it.
@@ -48,11 +48,11 @@
 }
 
 // countFractions adds the measured canary fraction of each step to the result, and the fraction of held attempts.
-func (d *Driver) countFractions(out *report.RoutesResult, events []record.Event, facts *invariant.Routes) {
+func (d *Driver) countFractions(result *report.RoutesResult, events []record.Event, facts *invariant.Routes) {
 	counter := &fractionCount{published: map[int64][]publishedStep{}, running: map[int]invariant.Span{}}
 	counter.readTables(events, facts)
-	out.Closed = max(out.Closed, counter.closed)
-	out.Held = d.heldFraction(counter.running, events)
+	result.Closed = max(result.Closed, counter.closed)
+	result.Held = d.heldFraction(counter.running, events)
 	sums := map[publishedStep]*report.StepFraction{}
 	counted := map[uint64]bool{} // requests whose first attempt was counted
 	for i := range events {
@@ -65,15 +65,15 @@
 			if r := &facts.Rollouts[step.rollout]; r.Tenant == int(e.Tenant) && r.Classes[e.Class] {
 				addAttempt(sums, step, e.Canary)
 				if e.Canary {
-					out.Rollouts[step.rollout].Canary++
+					result.Rollouts[step.rollout].Canary++
 				}
 			}
 		}
 	}
-	for t, s := range sums {
-		s.Measured /= float64(s.Attempts)
-		r := &out.Rollouts[t.rollout]
-		r.Steps = append(r.Steps, *s)
+	for t, fraction := range sums {
+		fraction.Measured /= float64(fraction.Attempts)
+		r := &result.Rollouts[t.rollout]
+		r.Steps = append(r.Steps, *fraction)
 		slices.SortFunc(r.Steps, func(a, b report.StepFraction) int { return a.Step - b.Step })
 	}
 }
--- a/internal/lab/rollouts/rollback_defect.go
+++ b/internal/lab/rollouts/rollback_defect.go
@@ -21,9 +21,9 @@
 // Rewrite returns the line to send to the sidecar in place of a line of the registry. A line that is not a route table
 // is returned unchanged.
 func (d *RollbackDefect) Rewrite(line []byte) []byte {
-	var t map[string]json.RawMessage
+	var table map[string]json.RawMessage
 	var routes []json.RawMessage
-	if json.Unmarshal(line, &t) != nil || t["routes"] == nil || json.Unmarshal(t["routes"], &routes) != nil {
+	if json.Unmarshal(line, &table) != nil || table["routes"] == nil || json.Unmarshal(table["routes"], &routes) != nil {
 		return line
 	}
 	d.mu.Lock()
@@ -55,10 +55,10 @@
 		}
 	}
 	var err error
-	if t["routes"], err = json.Marshal(routes); err != nil {
+	if table["routes"], err = json.Marshal(routes); err != nil {
 		return line
 	}
-	text, err := json.Marshal(t)
+	text, err := json.Marshal(table)
 	if err != nil {
 		return line
 	}
