--- a/internal/lab/gossip/gossip_test.go
+++ b/internal/lab/gossip/gossip_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func pair(t *testing.T, rules Rules) (*Network, *Port, *Port) {
+func openPair(t *testing.T, rules Rules) (*Network, *Port, *Port) {
 	n := New(7, rules)
 	var ports [2]*Port
 	for i := range ports {
@@ -35,8 +35,8 @@
 	return n, ports[0], ports[1]
 }
 
-// arrive sends one packet and tells how long it took; -1: it did not come in a minute.
-func arrive(t *testing.T, from, to *Port) time.Duration {
+// sendAndReceive sends one packet and returns its delay, or -1 if it did not arrive within a minute.
+func sendAndReceive(t *testing.T, from, to *Port) time.Duration {
 	sent, err := from.WriteTo([]byte("hello"), to.Addr().String())
 	require.NoError(t, err)
 	select {
@@ -50,34 +50,34 @@
 
 func TestPackets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a, b := pair(t, Rules{Delay: 5 * time.Millisecond, Jitter: time.Millisecond})
+		n, a, b := openPair(t, Rules{Delay: 5 * time.Millisecond, Jitter: time.Millisecond})
 		_, err := n.Open(a.Addr())
-		require.ErrorContains(t, err, "a port is open there")
+		require.ErrorContains(t, err, "address in use")
 		for range 20 {
-			assert.InDelta(t, 5.5, arrive(t, a, b).Seconds()*1000, 0.5)
+			assert.InDelta(t, 5.5, sendAndReceive(t, a, b).Seconds()*1000, 0.5)
 		}
-		n.SetWay(a.Addr(), b.Addr(), Rules{Cut: true})
-		assert.Negative(t, arrive(t, a, b), "a cut holds")
-		assert.Positive(t, arrive(t, b, a), "one way only")
+		n.SetLink(a.Addr(), b.Addr(), Rules{Cut: true})
+		assert.Negative(t, sendAndReceive(t, a, b), "the direction is cut")
+		assert.Positive(t, sendAndReceive(t, b, a), "the other direction is not cut")
 		n.Heal()
-		for _, part := range []map[netip.AddrPort]int{{a.Addr(): 1}, {b.Addr(): 1}} {
-			n.Split(part)
-			assert.Negative(t, arrive(t, a, b))
-			assert.Negative(t, arrive(t, b, a))
+		for _, partitions := range []map[netip.AddrPort]int{{a.Addr(): 1}, {b.Addr(): 1}} {
+			n.Partition(partitions)
+			assert.Negative(t, sendAndReceive(t, a, b))
+			assert.Negative(t, sendAndReceive(t, b, a))
 		}
-		n.Split(map[netip.AddrPort]int{a.Addr(): 1, b.Addr(): 1})
-		assert.Positive(t, arrive(t, a, b), "both in one part")
+		n.Partition(map[netip.AddrPort]int{a.Addr(): 1, b.Addr(): 1})
+		assert.Positive(t, sendAndReceive(t, a, b), "both in one partition")
 		n.Heal()
-		n.Vanish(b.Addr(), true)
-		assert.Negative(t, arrive(t, a, b))
-		n.Vanish(b.Addr(), false)
-		assert.Positive(t, arrive(t, a, b))
+		n.SetHostDown(b.Addr(), true)
+		assert.Negative(t, sendAndReceive(t, a, b))
+		n.SetHostDown(b.Addr(), false)
+		assert.Positive(t, sendAndReceive(t, a, b))
 		c := a.Counts()
 		assert.Equal(t, Counts{SentPackets: 26, SentBytes: 130, LostPackets: 4, ReceivedPackets: 1, ReceivedBytes: 5}, c)
 	})
 }
 
-// The same seed loses the same packets; of many as large a share as the rules say.
+// The same seed loses the same packets, and the lost fraction is that of the rules.
 func TestLossIsSeeded(t *testing.T) {
 	lost := func(seed uint64) (out []int) {
 		n := New(seed, Rules{Loss: 0.3})
@@ -104,63 +104,63 @@
 
 func TestStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a, b := pair(t, Rules{Delay: 10 * time.Millisecond})
+		n, a, b := openPair(t, Rules{Delay: 10 * time.Millisecond})
 		started := time.Now()
-		mine, err := a.DialTimeout(b.Addr().String(), time.Second)
+		local, err := a.DialTimeout(b.Addr().String(), time.Second)
 		require.NoError(t, err)
 		assert.Equal(t, 20*time.Millisecond, time.Since(started))
-		its := <-b.StreamCh()
-		assert.Equal(t, a.Addr().String(), its.RemoteAddr().String())
-		sent := bytes.Repeat([]byte("x"), 3<<20) // more than the window
+		remote := <-b.StreamCh()
+		assert.Equal(t, a.Addr().String(), remote.RemoteAddr().String())
+		sent := bytes.Repeat([]byte("x"), 3<<20) // more than maxBufferedBytes
 		go func() {
 			for part := range slices.Chunk(sent, 64<<10) {
-				_, err := mine.Write(part)
+				_, err := local.Write(part)
 				assert.NoError(t, err)
 			}
-			assert.NoError(t, mine.Close())
+			assert.NoError(t, local.Close())
 		}()
-		n.SetWay(a.Addr(), b.Addr(), Rules{Cut: true})
-		require.NoError(t, its.SetReadDeadline(time.Now().Add(time.Second)))
-		_, err = its.Read(make([]byte, 1))
-		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "held up by the cut")
+		n.SetLink(a.Addr(), b.Addr(), Rules{Cut: true})
+		require.NoError(t, remote.SetReadDeadline(time.Now().Add(time.Second)))
+		_, err = remote.Read(make([]byte, 1))
+		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "blocked by the cut")
 		n.Heal()
-		require.NoError(t, its.SetDeadline(time.Time{}))
-		got, err := io.ReadAll(its)
+		require.NoError(t, remote.SetDeadline(time.Time{}))
+		got, err := io.ReadAll(remote)
 		require.NoError(t, err)
 		assert.Len(t, got, len(sent))
-		_, err = its.Write([]byte("y"))
+		_, err = remote.Write([]byte("y"))
 		require.ErrorIs(t, err, syscall.ECONNRESET)
-		require.NoError(t, its.Close())
+		require.NoError(t, remote.Close())
 		assert.EqualValues(t, len(sent), b.Counts().ReceivedBytes)
 	})
 }
 
 func TestDials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a, b := pair(t, Rules{})
+		n, a, b := openPair(t, Rules{})
 		dial := func(to netip.AddrPort) (net.Conn, error) { return a.DialTimeout(to.String(), 10*time.Second) }
 		_, err := dial(Addr(99))
 		require.ErrorIs(t, err, syscall.ECONNREFUSED, "no port listens")
 		var op *net.OpError
-		require.True(t, errors.As(err, &op) && op.Op == "dial", "of the form that memberlist takes for the other's failure")
-		n.SetWay(b.Addr(), a.Addr(), Rules{Cut: true})
+		require.True(t, errors.As(err, &op) && op.Op == "dial", "the form of error that memberlist treats as a failure of the remote member")
+		n.SetLink(b.Addr(), a.Addr(), Rules{Cut: true})
 		_, err = dial(b.Addr())
-		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the way back is cut")
+		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the opposite direction is cut")
 		n.Heal()
-		n.SetWay(a.Addr(), b.Addr(), Rules{RejectDials: true})
+		n.SetLink(a.Addr(), b.Addr(), Rules{RejectDials: true})
 		_, err = dial(b.Addr())
-		require.ErrorIs(t, err, syscall.ECONNREFUSED, "rejected on its behalf")
+		require.ErrorIs(t, err, syscall.ECONNREFUSED, "refused although the port listens")
 		n.Heal()
-		n.Vanish(b.Addr(), true)
+		n.SetHostDown(b.Addr(), true)
 		_, err = dial(b.Addr())
-		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "a host that is away refuses nothing")
-		n.Vanish(b.Addr(), false)
+		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "a host that is down does not refuse")
+		n.SetHostDown(b.Addr(), false)
 		for range backlog {
 			_, err = dial(b.Addr())
 			require.NoError(t, err)
 		}
 		_, err = dial(b.Addr())
-		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "its backlog is full")
+		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the backlog is full")
 		s := <-b.StreamCh()
 		blocked := make(chan error)
 		go func() {
@@ -175,27 +175,27 @@
 	})
 }
 
-// join retries until a call is answered: some are lost.
+// join retries joining, because some packets are lost.
 func join(t *testing.T, m *memberlist.Memberlist) {
 	for range 10 {
 		if _, err := m.Join([]string{Addr(0).String()}); err == nil {
 			return
 		}
 	}
-	t.Fatal("cannot join")
+	t.Fatal("join failed 10 times")
 }
 
-// memberlist itself works on the network: it joins, notices a port that is gone, and heals a split.
+// memberlist works on the simulated network: members join, notice a closed port, and recover from a partition.
 func TestMemberlist(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const count = 12
 		n := New(1, Rules{Loss: 0.05, Delay: time.Millisecond})
 		var all []*memberlist.Memberlist
-		part := map[netip.AddrPort]int{}
+		partitions := map[netip.AddrPort]int{}
 		for i := range count {
 			p, err := n.Open(Addr(i))
 			require.NoError(t, err)
-			part[Addr(i)] = i % 2
+			partitions[Addr(i)] = i % 2
 			c := memberlist.DefaultLocalConfig()
 			c.Name, c.Transport, c.Logger = fmt.Sprint(i), p, log.New(io.Discard, "", 0)
 			m, err := memberlist.Create(c)
@@ -212,11 +212,11 @@
 				if agree {
 					return
 				}
-				require.True(t, time.Now().Before(end), "no agreement on %d", alive)
+				require.True(t, time.Now().Before(end), "members do not agree on %d live members within 5 minutes", alive)
 			}
 		}
 		await(count, all)
-		n.Split(part)
+		n.Partition(partitions)
 		await(count/2, all)
 		n.Heal()
 		for _, m := range all[1:] {
@@ -228,6 +228,6 @@
 		for _, m := range all {
 			require.NoError(t, m.Shutdown())
 		}
-		time.Sleep(time.Minute) // simulated: the library's last probes end by time
+		time.Sleep(time.Minute) // simulated time: the library's last probes end by timeout
 	})
 }
--- a/internal/lab/members/members_test.go
+++ b/internal/lab/members/members_test.go
@@ -32,8 +32,9 @@
 interval = "200ms"
 `
 
-// dials checks what comes of a call from one party to another's endpoint: it is taken, refused, or silent.
-func dials(t *testing.T, want string, from, to *Endpoint, why ...any) {
+// expectDial dials the endpoint of one party from another and checks whether the connection is accepted ("taken"),
+// refused, or times out ("silent").
+func expectDial(t *testing.T, want string, from, to *Endpoint, why ...any) {
 	t.Helper()
 	wait := 5 * time.Second
 	if want == "silent" {
@@ -55,31 +56,32 @@
 	assert.Equal(t, want, got, why...)
 }
 
-// An endpoint refuses where its host would, and not through a cut; packets and connections pass as the faults let them.
+// An endpoint refuses connections when the host of its process would, but not through a cut. Packets and connections
+// pass only where the active faults let them.
 func TestEndpoint_rejectsAsItsHost(t *testing.T) {
 	s, err := scenario.Parse("test.toml", []byte(threeMembers))
 	require.NoError(t, err)
 	m, err := New(&harness.Run{Scenario: s, Plan: s.Plan(1)})
 	require.NoError(t, err)
 	defer m.Close()
-	f := []*Endpoint{m.newestEndpoint(0), m.newestEndpoint(1), m.newestEndpoint(2)}
-	dials(t, "refused", f[0], f[1], "before its process starts")
-	process, err := net.Listen("tcp4", f[1].bindAddr)
+	endpoints := []*Endpoint{m.newestEndpoint(0), m.newestEndpoint(1), m.newestEndpoint(2)}
+	expectDial(t, "refused", endpoints[0], endpoints[1], "before the process starts")
+	process, err := net.Listen("tcp4", endpoints[1].bindAddr)
 	require.NoError(t, err)
 	defer process.Close()
-	packets, err := net.ListenPacket("udp4", f[1].bindAddr)
+	packets, err := net.ListenPacket("udp4", endpoints[1].bindAddr)
 	require.NoError(t, err)
 	defer packets.Close()
-	out, err := net.ListenPacket("udp4", f[0].bindAddr)
+	out, err := net.ListenPacket("udp4", endpoints[0].bindAddr)
 	require.NoError(t, err)
 	defer out.Close()
-	arrives := func(want bool) {
+	expectPacket := func(want bool) {
 		t.Helper()
 		wait := 5 * time.Second
 		if !want {
 			wait = 100 * time.Millisecond
 		}
-		to, err := net.ResolveUDPAddr("udp4", f[1].Addr())
+		to, err := net.ResolveUDPAddr("udp4", endpoints[1].Addr())
 		require.NoError(t, err)
 		_, err = out.WriteTo([]byte("x"), to)
 		require.NoError(t, err)
@@ -89,42 +91,42 @@
 	}
 	_, err = m.Prepare(1)
 	require.NoError(t, err)
-	dials(t, "taken", f[0], f[1])
-	arrives(true)
+	expectDial(t, "taken", endpoints[0], endpoints[1])
+	expectPacket(true)
 	for way, want := range map[string]struct {
-		to, from string // what comes of a call to the party that is cut off, and of its own
-		arrives  bool   // what is sent to it
+		to, from string // outcome of a connection to the cut-off party, and from it
+		arrives  bool   // a packet to the cut-off party arrives
 	}{
 		"to": {"silent", "silent", false}, "from": {"silent", "silent", true},
 		"both": {"silent", "silent", false}, "in": {"silent", "refused", false},
 	} {
 		cut := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-cut", Direction: way}, Sidecars: []int{1}}
 		require.NoError(t, m.SetFault(cut, true))
-		dials(t, want.to, f[0], f[1], way)
-		dials(t, want.from, f[1], f[0], "%s, whose process is not there", way)
-		arrives(want.arrives)
-		m.ProcessEnded(f[1], nil)
-		dials(t, "silent", f[0], f[1], "%s: a refusal does not reach through", way)
+		expectDial(t, want.to, endpoints[0], endpoints[1], way)
+		expectDial(t, want.from, endpoints[1], endpoints[0], "%s: called party without a process", way)
+		expectPacket(want.arrives)
+		m.ProcessEnded(endpoints[1], nil)
+		expectDial(t, "silent", endpoints[0], endpoints[1], "%s: a refusal must not pass the cut", way)
 		require.NoError(t, m.SetFault(cut, false))
-		dials(t, "refused", f[0], f[1], way)
-		f[1].assigned = false // the next process has it again
+		expectDial(t, "refused", endpoints[0], endpoints[1], way)
+		endpoints[1].assigned = false // let the next process use this endpoint
 		_, err = m.Prepare(1)
 		require.NoError(t, err)
 	}
 	reject := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-refuse"}, Sidecars: []int{1}}
 	require.NoError(t, m.SetFault(reject, true))
-	dials(t, "refused", f[0], f[1], "although its process lives")
-	dials(t, "silent", f[1], f[0])
-	arrives(false)
+	expectDial(t, "refused", endpoints[0], endpoints[1], "refused although the process is live")
+	expectDial(t, "silent", endpoints[1], endpoints[0])
+	expectPacket(false)
 	require.NoError(t, m.SetFault(reject, false))
-	dials(t, "taken", f[0], f[1])
+	expectDial(t, "taken", endpoints[0], endpoints[1])
 	lose := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-lose", Size: 1}, Sidecars: []int{0}}
 	require.NoError(t, m.SetFault(lose, true))
-	arrives(false)
-	dials(t, "taken", f[0], f[1])
+	expectPacket(false)
+	expectDial(t, "taken", endpoints[0], endpoints[1])
 }
 
-// What a report says of members follows from the records.
+// The members section of a report is computed from the records.
 func TestResult_ofRecords(t *testing.T) {
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	var events []record.Event
@@ -133,27 +135,27 @@
 			N: int64(serial)})
 		return &events[len(events)-1]
 	}
-	says := func(s float64, serial, known, reachable int) {
+	addView := func(s float64, serial, known, reachable int) {
 		e := add(s, record.MembershipStatus, serial, "")
 		e.Status, e.Attempt, e.Canary, e.Work = int32(known), int16(reachable), true, 3
 	}
-	of := func(s float64, by, of int, note string) { add(s, record.MemberStatus, by, note).N = int64(of) }
+	addStatus := func(s float64, by, of int, note string) { add(s, record.MemberStatus, by, note).N = int64(of) }
 	for serial := range 3 {
 		add(-1, record.MemberProcess, serial, invariant.MemberServes)
-		says(0, serial, 3, 3)
+		addView(0, serial, 3, 3)
 	}
-	of(0, 0, 2, "alive n2")
-	of(0, 1, 2, "alive n2")
-	of(0, 0, 1, "alive n1")
-	of(0, 2, 0, "silent n0") // not heard yet
-	of(1, 0, 1, "silent n1")
-	says(2, 1, 3, 3)
+	addStatus(0, 0, 2, "alive n2")
+	addStatus(0, 1, 2, "alive n2")
+	addStatus(0, 0, 1, "alive n1")
+	addStatus(0, 2, 0, "silent n0") // no message yet
+	addStatus(1, 0, 1, "silent n1")
+	addView(2, 1, 3, 3)
 	add(3, record.MemberProcess, 2, invariant.MemberEnded)
-	of(5, 0, 2, "silent n2")
-	of(6, 1, 2, "silent n2")
-	of(7, 0, 2, "gone n2 refused")
-	says(8, 0, 2, 2)
-	says(9, 1, 2, 2)
+	addStatus(5, 0, 2, "silent n2")
+	addStatus(6, 1, 2, "silent n2")
+	addStatus(7, 0, 2, "gone n2 refused")
+	addView(8, 0, 2, 2)
+	addView(9, 1, 2, 2)
 	out := Result(events, &invariant.Members{Names: []string{"n0", "n1", "n2"}, Sidecars: 3, Peers: 3})
 	assert.Equal(t, 1, out.Deaths)
 	assert.Equal(t, []time.Duration{at(2), at(3)}, out.Noticed.Durations)
--- a/internal/lab/members/result.go
+++ b/internal/lab/members/result.go
@@ -12,88 +12,91 @@
 	"marblelane/internal/lab/report"
 )
 
-// processHistory is one process as its records show it.
+// processHistory is the recorded history of one process.
 type processHistory struct {
 	party                 int32
 	served, leaves, ended time.Duration
-	answers               []record.Event
+	responses             []record.Event
 	statuses              map[memberID][]status
 }
 
+// status is a state of a member as another process reported it.
 type status struct {
 	at    time.Duration
 	state string
 }
 
+// never is the time of an event that did not happen.
 const never = time.Duration(1<<63 - 1)
 
-// resultReader gathers the result from the records.
+// resultReader computes the result from the records.
 type resultReader struct {
 	facts      *invariant.Members
 	processes  []*processHistory
-	lastChange time.Duration // when the last thing happened to a process or link
-	out        *report.MembersResult
+	lastChange time.Duration // last start or end of a process or a membership fault
+	result     *report.MembersResult
 }
 
-// Facts are what the invariants hold the run against.
+// Facts returns the properties of the run that the invariants are checked with.
 func (m *Network) Facts() *invariant.Members {
 	p, s := m.run.Plan, m.run.Scenario
-	f := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.PeerCount()}
+	facts := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.PeerCount()}
 	for i := range p.Sidecars {
-		f.Names = append(f.Names, p.Sidecars[i].Name)
+		facts.Names = append(facts.Names, p.Sidecars[i].Name)
 		if !s.InMembership(i) {
-			f.WithoutMembership++
+			facts.WithoutMembership++
 		}
 	}
 	if m.registry != nil {
 		for _, c := range m.registry.Replicas {
-			f.Names = append(f.Names, c.Name)
+			facts.Names = append(facts.Names, c.Name)
 		}
 	}
 	for i := range p.Faults {
 		if one := &p.Faults[i]; one.Fault.Kind == "members-refuse" {
-			f.FalseRefusals = append(f.FalseRefusals, invariant.Span{From: one.At, To: one.Until + falseProofRecovery})
+			facts.FalseRefusals = append(facts.FalseRefusals, invariant.Span{From: one.At, To: one.Until + falseProofRecovery})
 		}
 	}
-	return f
+	return facts
 }
 
-// falseProofRecovery is how long after a false refusal a process that was counted out may take to be counted again.
+// falseProofRecovery is the time after a false refusal within which a process that others counted as gone must be
+// counted as a member again.
 const falseProofRecovery = 15 * time.Second
 
-// Result reads what the members knew of each other from the events of a run, by time.
+// Result computes what the members knew of each other from the events of a run, which are ordered by time.
 func Result(events []record.Event, facts *invariant.Members) *report.MembersResult {
-	r := &resultReader{facts: facts, out: &report.MembersResult{AgreeMS: -1}}
-	r.read(events)
+	r := &resultReader{facts: facts, result: &report.MembersResult{AgreeMS: -1}}
+	r.readEvents(events)
 	for _, one := range invariant.QuotaMoments(events, facts) {
-		if one.Sum > r.out.MaxQuotaSum {
-			r.out.MaxQuotaSum, r.out.MaxQuotaSumAt = one.Sum, one.At.Seconds()
+		if one.Sum > r.result.MaxQuotaSum {
+			r.result.MaxQuotaSum, r.result.MaxQuotaSumAt = one.Sum, one.At.Seconds()
 		}
 	}
 	for _, p := range r.processes {
-		r.countDeath(p)
+		r.measureEnd(p)
 		r.countFalseSuspicions(p, events)
-		r.countJoining(p)
+		r.measureJoining(p)
 	}
 	r.findAgreement()
-	for _, t := range []*report.Times{&r.out.Noticed, &r.out.CountedOut, &r.out.Left, &r.out.Admitted} {
+	for _, t := range []*report.Times{&r.result.Noticed, &r.result.CountedOut, &r.result.Left, &r.result.Admitted} {
 		t.Summarize()
 	}
-	return r.out
+	return r.result
 }
 
-func (r *resultReader) read(events []record.Event) {
-	by := map[uint64]*processHistory{}
+func (r *resultReader) readEvents(events []record.Event) {
+	bySerial := map[uint64]*processHistory{}
 	for i := range events {
 		e := &events[i]
-		p := by[e.Sum]
+		p := bySerial[e.Sum]
 		switch e.Kind {
 		case record.MemberProcess:
 			r.lastChange = max(r.lastChange, e.T)
 			switch {
 			case e.Note == invariant.MemberServes:
 				p = &processHistory{party: e.Sidecar, served: e.T, leaves: never, ended: never, statuses: map[memberID][]status{}}
-				by[e.Sum], r.processes = p, append(r.processes, p)
+				bySerial[e.Sum], r.processes = p, append(r.processes, p)
 			case p == nil:
 			case e.Note == invariant.MemberLeaves:
 				p.leaves = e.T
@@ -104,13 +107,13 @@
 			if p == nil {
 				continue
 			}
-			if n := len(p.answers); n > 0 {
-				if was := p.answers[n-1]; was.Status != e.Status || was.Attempt != e.Attempt || was.Canary != e.Canary {
-					r.out.Changes++
+			if n := len(p.responses); n > 0 {
+				if previous := p.responses[n-1]; previous.Status != e.Status || previous.Attempt != e.Attempt || previous.Canary != e.Canary {
+					r.result.Changes++
 				}
 			}
-			p.answers = append(p.answers, *e)
-			r.out.Answers++
+			p.responses = append(p.responses, *e)
+			r.result.Answers++
 		case record.MemberStatus:
 			if p == nil {
 				continue
@@ -124,28 +127,30 @@
 			}
 		}
 	}
-	r.out.Processes = len(r.processes)
+	r.result.Processes = len(r.processes)
 }
 
-// isMembershipFault tells whether a fault is one of members or of their links.
+// isMembershipFault reports whether a fault concerns members or the links between them.
 func isMembershipFault(note string) bool {
 	return strings.HasPrefix(note, "members-") || strings.HasPrefix(note, "sidecar") || strings.HasPrefix(note, "copy-")
 }
 
+// name returns the member name of a process.
 func (r *resultReader) name(p *processHistory) string { return r.facts.Names[p.party] }
 
-// id is the last that a process called itself.
-func (r *resultReader) id(p *processHistory) (memberID, bool) {
-	if len(p.answers) == 0 {
+// lastID returns the identity in the last response of a process; false if it never responded.
+func (r *resultReader) lastID(p *processHistory) (memberID, bool) {
+	if len(p.responses) == 0 {
 		return memberID{}, false
 	}
-	return memberID{r.name(p), p.answers[len(p.answers)-1].N}, true
+	return memberID{r.name(p), p.responses[len(p.responses)-1].N}, true
 }
 
-// until is how long after a time a process first said one of some standings of a member.
-func (p *processHistory) until(id memberID, from time.Duration, states ...string) (time.Duration, bool) {
+// timeToState returns the time after from until the process first reported a member in one of the states; false if
+// never.
+func (p *processHistory) timeToState(id memberID, from time.Duration, states ...string) (time.Duration, bool) {
 	for i, s := range p.statuses[id] {
-		later := never // until then it stands so
+		later := never // end of this status
 		if i+1 < len(p.statuses[id]) {
 			later = p.statuses[id][i+1].at
 		}
@@ -156,55 +161,56 @@
 	return 0, false
 }
 
-// death measures how the end of a process became known to the others.
-func (r *resultReader) countDeath(p *processHistory) {
-	id, ok := r.id(p)
+// measureEnd measures how long the other processes took to notice the end of a process.
+func (r *resultReader) measureEnd(p *processHistory) {
+	id, ok := r.lastID(p)
 	if !ok || p.ended == never {
 		return
 	}
 	killed := p.leaves == never
 	if killed {
-		r.out.Deaths++
+		r.result.Deaths++
 	}
 	for _, q := range r.processes {
 		if q == p || q.served >= min(p.leaves, p.ended) || q.statuses[id] == nil {
 			continue
 		}
 		add := func(t *report.Times, from time.Duration, states ...string) {
-			d, ok := q.until(id, from, states...)
+			d, ok := q.timeToState(id, from, states...)
 			if !ok && (q.ended != never || q.leaves != never) {
-				return // it did not live to see it
+				return // the observer ended or left first
 			}
 			t.Add(d, ok)
 		}
 		if !killed {
-			add(&r.out.Left, p.leaves, invariant.Gone, invariant.Absent)
+			add(&r.result.Left, p.leaves, invariant.Gone, invariant.Absent)
 			continue
 		}
-		add(&r.out.Noticed, p.ended, invariant.Silent, invariant.Gone, invariant.Absent)
-		add(&r.out.CountedOut, p.ended, invariant.Gone, invariant.Absent)
+		add(&r.result.Noticed, p.ended, invariant.Silent, invariant.Gone, invariant.Absent)
+		add(&r.result.CountedOut, p.ended, invariant.Gone, invariant.Absent)
 	}
 }
 
-// causeWindow is how long ago a fault may have ended that explains why a living process is taken for silent.
+// causeWindow is the time after a fault's end during which the fault still explains that a live process is reported
+// silent.
 const causeWindow = 15 * time.Second
 
-// countFalseSuspicions counts how often others took a living process for silent or gone.
+// countFalseSuspicions counts how often other processes reported a live process as silent or gone.
 func (r *resultReader) countFalseSuspicions(p *processHistory, events []record.Event) {
 	for _, q := range r.processes {
 		if q == p {
 			continue
 		}
-		for id, all := range q.statuses { // a member that was only named by others is silent until its first message
+		for id, all := range q.statuses { // a member known only from others is silent until its first message
 			if id.name != r.name(p) {
 				continue
 			}
-			i := slices.IndexFunc(p.answers, func(e record.Event) bool { return e.N == id.start })
+			i := slices.IndexFunc(p.responses, func(e record.Event) bool { return e.N == id.start })
 			if i < 0 {
-				continue // of another process of its name
+				continue // another process of the same name
 			}
-			last := p.answers[i].T
-			for _, e := range p.answers[i:] {
+			last := p.responses[i].T
+			for _, e := range p.responses[i:] {
 				if e.N == id.start {
 					last = e.T - time.Duration(e.Want)
 				}
@@ -213,11 +219,11 @@
 				switch {
 				case s.at > last || s.at > p.leaves || k == 0 || all[k-1].state == invariant.Absent:
 				case s.state == invariant.Gone:
-					r.out.FalseGone++
+					r.result.FalseGone++
 				case s.state == invariant.Silent:
-					if r.out.FalseSilent++; !r.explained(events, p, q, s.at) {
-						r.out.UnexplainedSilent++
-						r.out.FalseExamples = append(r.out.FalseExamples, fmt.Sprintf("%s of %s at %.1f s", r.name(q), id.name, s.at.Seconds()))
+					if r.result.FalseSilent++; !r.explainedByFault(events, p, q, s.at) {
+						r.result.UnexplainedSilent++
+						r.result.FalseExamples = append(r.result.FalseExamples, fmt.Sprintf("%s of %s at %.1f s", r.name(q), id.name, s.at.Seconds()))
 					}
 				}
 			}
@@ -225,16 +231,17 @@
 	}
 }
 
-// blocksMessages tells whether a fault keeps some from hearing others.
+// blocksMessages reports whether a fault keeps messages of some members from others.
 func blocksMessages(note string) bool {
 	return slices.ContainsFunc([]string{"members-cut", "members-refuse", "copy-freeze"}, func(kind string) bool {
 		return strings.HasPrefix(note, kind)
 	})
 }
 
-// explained tells whether a fault explains that one process got no message of another: one was frozen, or links were cut.
-func (r *resultReader) explained(events []record.Event, p, q *processHistory, at time.Duration) bool {
-	on := map[string]time.Duration{} // what is there, and when it ended
+// explainedByFault reports whether a fault explains that one process got no message of the other: either was frozen, or
+// links were cut.
+func (r *resultReader) explainedByFault(events []record.Event, p, q *processHistory, at time.Duration) bool {
+	faultEnds := map[string]time.Duration{} // end of each fault so far; never: still active
 	for i := range events {
 		e := &events[i]
 		if e.T > at {
@@ -244,18 +251,18 @@
 		case e.Kind == record.Process && (e.Sidecar == p.party || e.Sidecar == q.party):
 			key := fmt.Sprint("frozen ", e.Sidecar)
 			if e.Note == invariant.Frozen {
-				on[key] = never
-			} else if on[key] == never { // it goes on, or it is killed
-				on[key] = e.T
+				faultEnds[key] = never
+			} else if faultEnds[key] == never { // resumed or killed
+				faultEnds[key] = e.T
 			}
 		case e.Kind == record.Fault && blocksMessages(e.Note):
 			key, ends := strings.CutSuffix(e.Note, " ends")
-			if on[key] = never; ends {
-				on[key] = e.T
+			if faultEnds[key] = never; ends {
+				faultEnds[key] = e.T
 			}
 		}
 	}
-	for _, over := range on {
+	for _, over := range faultEnds {
 		if over == never || over > at-causeWindow {
 			return true
 		}
@@ -263,30 +270,31 @@
 	return false
 }
 
-// countJoining measures how long a process that came during the run waited until it was admitted.
-func (r *resultReader) countJoining(p *processHistory) {
-	if slices.ContainsFunc(p.answers, func(e record.Event) bool { return e.Class == 1 }) {
-		r.out.Forced++
+// measureJoining measures how long a process that started during the run waited for its admission.
+func (r *resultReader) measureJoining(p *processHistory) {
+	if slices.ContainsFunc(p.responses, func(e record.Event) bool { return e.Class == 1 }) {
+		r.result.Forced++
 	}
 	if p.served <= pollInterval || int(p.party) >= r.facts.Sidecars {
 		return
 	}
-	r.out.JoiningMembers++
-	i := slices.IndexFunc(p.answers, func(e record.Event) bool { return e.Canary })
+	r.result.JoiningMembers++
+	i := slices.IndexFunc(p.responses, func(e record.Event) bool { return e.Canary })
 	switch {
 	case i >= 0:
-		r.out.Admitted.Add(max(p.answers[i].T-p.served, 0), true)
+		r.result.Admitted.Add(max(p.responses[i].T-p.served, 0), true)
 	case p.ended == never:
-		r.out.Admitted.Add(0, false)
+		r.result.Admitted.Add(0, false)
 	}
 }
 
-// findAgreement finds when all counted the same after the last thing that happened, and what they counted at the end.
+// findAgreement finds when all live processes first counted the same members after the last change, and their counts at
+// the end of the run.
 func (r *resultReader) findAgreement() {
 	var living []*processHistory
-	sidecars := 0 // that live; the replicas of the registry are members that are not counted
+	sidecars := 0 // live sidecars; registry replicas are members, but the counts leave them out
 	for _, p := range r.processes {
-		if p.ended == never && p.leaves == never && len(p.answers) > 0 {
+		if p.ended == never && p.leaves == never && len(p.responses) > 0 {
 			living = append(living, p)
 			if int(p.party) < r.facts.Sidecars {
 				sidecars++
@@ -294,29 +302,29 @@
 		}
 	}
 	for i, p := range living {
-		last := p.answers[len(p.answers)-1]
+		last := p.responses[len(p.responses)-1]
 		known, reachable := int(last.Status), int(last.Attempt)
 		if i == 0 {
-			r.out.Known, r.out.Reachable = [2]int{known, known}, [2]int{reachable, reachable}
+			r.result.Known, r.result.Reachable = [2]int{known, known}, [2]int{reachable, reachable}
 		}
-		r.out.Known = [2]int{min(r.out.Known[0], known), max(r.out.Known[1], known)}
-		r.out.Reachable = [2]int{min(r.out.Reachable[0], reachable), max(r.out.Reachable[1], reachable)}
+		r.result.Known = [2]int{min(r.result.Known[0], known), max(r.result.Known[1], known)}
+		r.result.Reachable = [2]int{min(r.result.Reachable[0], reachable), max(r.result.Reachable[1], reachable)}
 	}
-	type answer struct {
+	type observation struct {
 		of int
 		e  *record.Event
 	}
-	var since []answer
+	var settled []observation
 	for i, p := range living {
-		for k := range p.answers {
-			if e := &p.answers[k]; e.T-time.Duration(e.Want) >= r.lastChange {
-				since = append(since, answer{i, e})
+		for k := range p.responses {
+			if e := &p.responses[k]; e.T-time.Duration(e.Want) >= r.lastChange {
+				settled = append(settled, observation{i, e})
 			}
 		}
 	}
-	slices.SortFunc(since, func(a, b answer) int { return cmp.Compare(a.e.T, b.e.T) })
+	slices.SortFunc(settled, func(a, b observation) int { return cmp.Compare(a.e.T, b.e.T) })
 	newest := map[int]*record.Event{}
-	for _, a := range since {
+	for _, a := range settled {
 		newest[a.of] = a.e
 		if len(newest) < len(living) {
 			continue
@@ -326,7 +334,7 @@
 			agree = agree && e.Status == a.e.Status && int(e.Attempt) == sidecars
 		}
 		if agree {
-			r.out.AgreeMS = float64(a.e.T-r.lastChange) / float64(time.Millisecond)
+			r.result.AgreeMS = float64(a.e.T-r.lastChange) / float64(time.Millisecond)
 			return
 		}
 	}
--- a/internal/lab/registry_proxy.go
+++ b/internal/lab/registry_proxy.go
@@ -289,7 +289,7 @@
 // records.
 func (s *registryProxy) rewriteRoutes(line []byte) []byte {
 	if o := s.run.rollouts.Load(); o != nil {
-		o.RecordLine(line)
+		o.RecordSentTable(line)
 	}
 	if defect := s.rollbackDefect.Load(); defect != nil {
 		return defect.Rewrite(line)
