--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -49,7 +49,7 @@
 		"d.Round": {1, "a duration"},
 	},
 	"cmd/marblelane/members_watch.go": {
-		"again.Round":                     {1, "a duration"},
+		"delay.Round":                     {1, "a duration"},
 		"time.UnixMilli":                  {1, "only shown to people"},
 		"time.UnixMilli(r.UnixMS).Format": {1, "only shown to people"},
 	},
