--- a/cmd/marblelane/lab_members_cold.go
+++ b/cmd/marblelane/lab_members_cold.go
@@ -33,7 +33,7 @@
 		slices.ContainsFunc(c.Rates, func(r float64) bool { return !(r > 0) }) {
 		return errors.New("--sidecars must be between 2 and 2000, --rates above 0")
 	}
-	m := membercold.Experiment{Sidecars: c.Sidecars, Rates: c.Rates, FleetChanges: c.Changes, Seeds: c.Seeds, Load: c.Load,
+	m := membercold.Experiment{Sidecars: c.Sidecars, Rates: c.Rates, FleetChanges: c.Changes, Seeds: c.Seeds, Utilization: c.Load,
 		RestartFraction: c.AtOnce, Cores: c.Cores, FallMultiple: c.Multiple, MeanWork: c.Work, LatencyObjective: c.Objective, Jobs: c.Jobs, Progress: a.errOut}
 	if slices.Contains(c.Changes, "all") {
 		m.FleetChanges = membercold.FleetChangeNames()
--- a/internal/lab/experiment/growth/growth.go
+++ b/internal/lab/experiment/growth/growth.go
@@ -148,7 +148,7 @@
 // before stand-in servers, in pairs of days, gives all figures. Whole fleets on a simulated clock give the share served
 // and the connections made. An error means that a day could not be played.
 func Measure(ctx context.Context, o Options) (*Result, error) {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, fmt.Errorf("growth: %w", err)
 	}
 	o.Simulated.Usual = cmp.Or(o.Simulated.Usual, o.Usual)
@@ -163,7 +163,7 @@
 	}
 	g := &Result{Usual: o.Usual, Large: o.Large, Simulated: o.Simulated}
 	for k := range o.Rounds {
-		pair, err := playRound(ctx, &o, k)
+		pair, err := runRound(ctx, &o, k)
 		if err != nil {
 			return nil, fmt.Errorf("growth: round %d: %w", k+1, err)
 		}
@@ -198,7 +198,7 @@
 	return rows
 }
 
-func (o *Options) check() error {
+func (o *Options) validate() error {
 	for _, size := range []Size{o.Usual, o.Large} {
 		if size.Sidecars < 1 || size.Servers < 2 {
 			return fmt.Errorf("%d sidecars and %d servers: at least 1 and 2", size.Sidecars, size.Servers)
--- a/internal/lab/experiment/growth/growth_test.go
+++ b/internal/lab/experiment/growth/growth_test.go
@@ -41,13 +41,13 @@
 // The medians of the rounds count. Figures that a simulated day does not have are compared for the process alone.
 func TestRows_medians(t *testing.T) {
 	usual := Usage{CPU: 1, PeakMemory: 1, Descriptors: 1, Connections: 1, ListBytes: 1, Served: 1}
-	far := Usage{CPU: 100, PeakMemory: 1000, Descriptors: 1000, Connections: 1000, ListBytes: 1e9, Served: 0}
+	exceeding := Usage{CPU: 100, PeakMemory: 1000, Descriptors: 1000, Connections: 1000, ListBytes: 1e9, Served: 0}
 	for name, c := range map[string]struct {
 		large  []Usage
 		broken int
 	}{
-		"one day of three is off": {[]Usage{usual, far, usual}, 0},
-		"two days of three are":   {[]Usage{far, usual, far}, len(boundTable)},
+		"one day of three is off": {[]Usage{usual, exceeding, usual}, 0},
+		"two days of three are":   {[]Usage{exceeding, usual, exceeding}, len(boundTable)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := &Result{Large: Size{Servers: 1000}, Days: []Day{{Pair: Pair{
@@ -63,7 +63,7 @@
 }
 
 func TestOptions_invalid(t *testing.T) {
-	for says, spoil := range map[string]func(*Options){
+	for want, invalidate := range map[string]func(*Options){
 		"1 servers":               func(o *Options) { o.Large.Servers = 1 },
 		"0 sidecars":              func(o *Options) { o.Usual.Sidecars = 0 },
 		"0 rounds":                func(o *Options) { o.Rounds = 0 },
@@ -73,11 +73,11 @@
 		"1.5 is not between":      func(o *Options) { o.ReplacedFraction = 1.5 },
 		"a length or the rate is": func(o *Options) { o.DayLength = 0 },
 	} {
-		t.Run(says, func(t *testing.T) {
+		t.Run(want, func(t *testing.T) {
 			o := quickOptions()
-			spoil(&o)
+			invalidate(&o)
 			_, err := Measure(t.Context(), o)
-			assert.ErrorContains(t, err, says)
+			assert.ErrorContains(t, err, want)
 		})
 	}
 }
--- a/internal/lab/experiment/growth/process.go
+++ b/internal/lab/experiment/growth/process.go
@@ -54,26 +54,26 @@
 type dayRun struct {
 	options *Options
 	run     *harness.Run // the plan, the folder and the supervisor of the processes
-	servers *servers
+	servers *standInServers
 	agents  *agent.Agents
-	meter   *meteredForward
+	meter   *meteredProxy
 	ids     atomic.Uint64
 }
 
-// playRound plays a day with each size. The order alternates from round to round.
-func playRound(ctx context.Context, o *Options, round int) (Pair, error) {
+// runRound plays a day with each size. The order alternates from round to round.
+func runRound(ctx context.Context, o *Options, round int) (Pair, error) {
 	var pair Pair
-	play := func(name string, size Size, usage *Usage) error {
+	runSize := func(name string, size Size, usage *Usage) error {
 		var err error
 		dir := filepath.Join(o.Dir, fmt.Sprintf("%s-%d", name, round))
-		if *usage, err = playDay(ctx, o, size, dir); err != nil {
+		if *usage, err = runDay(ctx, o, size, dir); err != nil {
 			return fmt.Errorf("%d servers: %w", size.Servers, err)
 		}
 		o.progress("round %d of %d, %d servers: %+v", round+1, o.Rounds, size.Servers, *usage)
 		return nil
 	}
-	first := func() error { return play("usual", o.Usual, &pair.Usual) }
-	second := func() error { return play("large", o.Large, &pair.Large) }
+	first := func() error { return runSize("usual", o.Usual, &pair.Usual) }
+	second := func() error { return runSize("large", o.Large, &pair.Large) }
 	if round%2 == 1 {
 		first, second = second, first
 	}
@@ -83,8 +83,8 @@
 	return pair, second()
 }
 
-// playDay starts a sidecar before the servers, sends requests for the day while servers are replaced, and stops it.
-func playDay(ctx context.Context, o *Options, size Size, dir string) (usage Usage, err error) {
+// runDay starts a sidecar before the servers, sends requests for the day while servers are replaced, and stops it.
+func runDay(ctx context.Context, o *Options, size Size, dir string) (usage Usage, err error) {
 	replaced := int(o.ReplacedFraction * float64(size.Servers))
 	s, err := scenario.Parse("growth.toml", []byte(processScenario))
 	if err != nil {
@@ -107,24 +107,24 @@
 	if err != nil {
 		return usage, err
 	}
-	if usage, err = d.play(ctx, p, size.Servers, replaced); err != nil {
+	if usage, err = d.measureUsage(ctx, p, size.Servers, replaced); err != nil {
 		return usage, err
 	}
-	if notified := d.serversNotifiedGone(); notified < replaced {
+	if notified := d.countRemovalsNotified(); notified < replaced {
 		return usage, fmt.Errorf("the sidecar was told of %d of %d servers that ended", notified, replaced)
 	}
 	return usage, nil
 }
 
-// serversNotifiedGone returns of how many servers the sidecar was notified that they are gone.
-func (d *dayRun) serversNotifiedGone() int {
-	gone := map[int32]bool{}
+// countRemovalsNotified returns of how many servers the sidecar was notified that they are gone.
+func (d *dayRun) countRemovalsNotified() int {
+	removed := map[int32]bool{}
 	for _, e := range d.run.Events.Events() {
 		if e.Kind == record.Notified && e.Note == agent.Gone {
-			gone[e.Server] = true
+			removed[e.Server] = true
 		}
 	}
-	return len(gone)
+	return len(removed)
 }
 
 // startDiscovery starts a discovery service that lists the first servers of the plan.
@@ -136,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	d.meter, err = startMeteredForward(d.agents.Addr(0))
+	d.meter, err = startMeteredProxy(d.agents.Addr(0))
 	return err
 }
 
@@ -165,8 +165,8 @@
 	return launcher.Launch(ctx, "sidecar", d.options.Program)
 }
 
-// play sends requests to the sidecar while servers are replaced, stops it, and measures until it has ended.
-func (d *dayRun) play(ctx context.Context, p *testbed.Sidecar, listed, replaced int) (Usage, error) {
+// measureUsage sends requests to the sidecar while servers are replaced, stops it, and measures until it has ended.
+func (d *dayRun) measureUsage(ctx context.Context, p *testbed.Sidecar, listed, replaced int) (Usage, error) {
 	load := testbed.NewLoad(p.Listen, d.run.Scenario.Classes[0].Name, d.options.Rate, d.options.Connections, &d.ids)
 	driving, stopDriving := context.WithCancel(ctx)
 	var background sync.WaitGroup
@@ -192,7 +192,7 @@
 		return Usage{}, errors.New("no request was sent")
 	}
 	return Usage{CPU: p.CPU(), PeakMemory: float64(peak.PeakRSS) / (1 << 20), Descriptors: float64(peak.Descriptors),
-		Connections: float64(d.servers.made.Load()), ListBytes: float64(d.meter.bytes.Load()),
+		Connections: float64(d.servers.connections.Load()), ListBytes: float64(d.meter.bytes.Load()),
 		Served: 1 - float64(done.Failed)/float64(done.Sent)}, nil
 }
 
@@ -221,18 +221,18 @@
 		if !harness.Sleep(ctx, time.Until(due)) {
 			return
 		}
-		var changed, gone []agent.Entry
+		var changed, removed []agent.Entry
 		for i := step * replaced / steps; i < (step+1)*replaced/steps; i++ {
 			old := d.run.Entry(i*listed/replaced, agent.Terminating, 0)
 			changed = append(changed, d.run.Entry(listed+i, agent.Ready, time.Now().UnixMilli()), old)
 			old.State = agent.Gone
-			gone = append(gone, old)
+			removed = append(removed, old)
 		}
 		d.agents.PublishAll(changed, 0, 0)
 		if !harness.Sleep(ctx, min(drainTime, d.options.Length/time.Duration(2*steps+4))) {
 			return
 		}
-		d.agents.PublishAll(gone, 0, 0)
+		d.agents.PublishAll(removed, 0, 0)
 	}
 }
 
@@ -251,25 +251,25 @@
 	return err
 }
 
-// servers are stand-in servers that give the same answer to each request.
-type servers struct {
-	http      *http.Server
-	listeners []net.Listener
-	made      atomic.Int64 // connections made to them
-	serving   sync.WaitGroup
+// standInServers are stand-in standInServers that give the same answer to each request.
+type standInServers struct {
+	http        *http.Server
+	listeners   []net.Listener
+	connections atomic.Int64 // connections made to them
+	serving     sync.WaitGroup
 }
 
-func startServers(count int) (*servers, error) {
-	s := &servers{}
-	answer := []byte(strings.Repeat("x", 256))
+func startServers(count int) (*standInServers, error) {
+	s := &standInServers{}
+	body := []byte(strings.Repeat("x", 256))
 	s.http = &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(workTime)
-			_, _ = w.Write(answer) // fails if the sidecar has ended
+			_, _ = w.Write(body) // fails if the sidecar has ended
 		}),
 		ConnState: func(_ net.Conn, state http.ConnState) {
 			if state == http.StateNew {
-				s.made.Add(1)
+				s.connections.Add(1)
 			}
 		},
 	}
@@ -288,9 +288,9 @@
 // that are meant for earlier listeners.
 func serverHost(server int) string { return fmt.Sprintf("127.16.%d.%d", server>>8, server&255) }
 
-func (s *servers) addr(server int) string { return s.listeners[server].Addr().String() }
+func (s *standInServers) addr(server int) string { return s.listeners[server].Addr().String() }
 
-func (s *servers) close() error {
+func (s *standInServers) close() error {
 	err := s.http.Close()
 	for _, l := range s.listeners { // those that are not served yet
 		_ = l.Close()
@@ -299,55 +299,55 @@
 	return err
 }
 
-// meteredForward forwards connections to one address and counts the bytes that come back.
-type meteredForward struct {
+// meteredProxy forwards connections to one address and counts the bytes that come back.
+type meteredProxy struct {
 	target   string
 	listener net.Listener
 	bytes    atomic.Int64
-	passing  sync.WaitGroup
+	active   sync.WaitGroup
 }
 
-func startMeteredForward(target string) (*meteredForward, error) {
+func startMeteredProxy(target string) (*meteredProxy, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	f := &meteredForward{target: target, listener: l}
-	f.passing.Go(f.accept)
+	f := &meteredProxy{target: target, listener: l}
+	f.active.Go(f.accept)
 	return f, nil
 }
 
-func (f *meteredForward) addr() string { return f.listener.Addr().String() }
+func (f *meteredProxy) addr() string { return f.listener.Addr().String() }
 
-func (f *meteredForward) accept() {
+func (f *meteredProxy) accept() {
 	for {
 		c, err := f.listener.Accept()
 		if err != nil {
 			return
 		}
-		f.passing.Go(func() { f.pass(c) })
+		f.active.Go(func() { f.forward(c) })
 	}
 }
 
-// pass forwards a connection until either side closes.
-func (f *meteredForward) pass(caller net.Conn) {
-	defer caller.Close()
-	called, err := net.DialTimeout("tcp4", f.target, time.Second)
+// forward forwards a connection until either side closes.
+func (f *meteredProxy) forward(client net.Conn) {
+	defer client.Close()
+	upstream, err := net.DialTimeout("tcp4", f.target, time.Second)
 	if err != nil {
 		return
 	}
-	defer called.Close()
-	f.passing.Go(func() {
-		_, _ = io.Copy(called, caller) // until either closes
-		called.Close()
+	defer upstream.Close()
+	f.active.Go(func() {
+		_, _ = io.Copy(upstream, client) // until either closes
+		upstream.Close()
 	})
-	_, _ = io.Copy(io.MultiWriter(caller, (*byteCount)(&f.bytes)), called) // until either closes
+	_, _ = io.Copy(io.MultiWriter(client, (*byteCount)(&f.bytes)), upstream) // until either closes
 }
 
 // close waits for the connections to end.
-func (f *meteredForward) close() error {
+func (f *meteredProxy) close() error {
 	err := f.listener.Close()
-	f.passing.Wait()
+	f.active.Wait()
 	return err
 }
 
--- a/internal/lab/experiment/membercold/membercold.go
+++ b/internal/lab/experiment/membercold/membercold.go
@@ -31,7 +31,7 @@
 	CountModes   []simulate.CountMode
 	Seeds        int
 
-	Load             float64       // utilization of the initial servers while all are warm
+	Utilization      float64       // utilization of the initial servers while all are warm
 	RestartFraction  float64       // share of the servers that restart at once
 	Cores            int           // of a server
 	FallMultiple     float64       // a server that warms up falls when it is sent this multiple of what it can do
@@ -100,8 +100,8 @@
 		"split-third"}
 }
 
-// indices returns the numbers from first up to but not including end.
-func indices(first, end int) []int {
+// indexRange returns the numbers from first up to but not including end.
+func indexRange(first, end int) []int {
 	var out []int
 	for i := first; i < end; i++ {
 		out = append(out, i)
@@ -119,16 +119,16 @@
 }
 
 // fleetChange returns the steps of a named change with n sidecars at the start, and how many sidecars exist at some time.
-func fleetChange(name string, n int) (all int, changes []simulate.FleetChange, err error) {
+func fleetChange(name string, n int) (total int, changes []simulate.FleetChange, err error) {
 	switch name {
 	case "steady":
 		return n, nil, nil
 	case "half-die":
-		return n, []simulate.FleetChange{{At: stopAtMS, Stop: indices(n/2, n)}}, nil
+		return n, []simulate.FleetChange{{At: stopAtMS, Stop: indexRange(n/2, n)}}, nil
 	case "double":
-		return 2 * n, []simulate.FleetChange{{At: startAtMS, Start: indices(n, 2*n)}}, nil
+		return 2 * n, []simulate.FleetChange{{At: startAtMS, Start: indexRange(n, 2*n)}}, nil
 	case "die-return":
-		majority := indices(n-n*7/10, n)
+		majority := indexRange(n-n*7/10, n)
 		return n, []simulate.FleetChange{{At: stopAtMS, Stop: majority}, {At: startAtMS, Start: majority}}, nil
 	case "split-half":
 		return n, splitFleet(n, func(i int) int { return i % 2 }), nil
@@ -139,7 +139,7 @@
 	case "split-alone":
 		return n, splitFleet(n, func(i int) int { return i }), nil
 	case "split-third": // half and half, and a third of the sidecars restarts meanwhile
-		third := indices(0, n/3)
+		third := indexRange(0, n/3)
 		changes := splitFleet(n, func(i int) int { return i % 2 })
 		stop := simulate.FleetChange{At: startAtMS - restartTimeMS, Stop: third}
 		return n, append(changes, stop, simulate.FleetChange{At: startAtMS, Start: third}), nil
@@ -184,7 +184,7 @@
 
 // plan draws one run with this number of sidecars, of all that exist at some time. It also returns the number of servers
 // that exist from the start.
-func (c *Experiment) plan(sidecars int, rate float64, all int, seed uint64) (*scenario.Plan, int, error) {
+func (c *Experiment) plan(sidecars int, rate float64, total int, seed uint64) (*scenario.Plan, int, error) {
 	text := fmt.Sprintf(scenarioTemplate, runLength, c.FallMultiple, c.Cores, c.MeanWork, c.LatencyObjective,
 		5*c.LatencyObjective, replaceAtMS)
 	s, err := scenario.Parse("members-cold", []byte(text))
@@ -192,11 +192,11 @@
 		return nil, 0, fmt.Errorf("members-cold: %w", err)
 	}
 	workSeconds := float64(c.MeanWork) / float64(time.Second)
-	capacity := float64(c.Cores) * c.Load
+	capacity := float64(c.Cores) * c.Utilization
 	initial := max(4, int(math.Ceil(float64(sidecars)*rate*workSeconds/capacity)))
 	countOf := func(fraction float64) int { return max(1, int(fraction*float64(initial))) }
 	joining, restarting := countOf(joiningFraction), countOf(c.RestartFraction)
-	s.Sidecars.Count, s.Servers.Count = all, initial+joining
+	s.Sidecars.Count, s.Servers.Count = total, initial+joining
 	s.Traffic.Rate = rate * float64(sidecars)
 	s.Faults[0].Servers = fmt.Sprint(countOf(replacedFraction))
 	p := s.Plan(seed)
@@ -220,8 +220,8 @@
 			Servers: others[joining : joining+restarting]})
 }
 
-// run is the result of one run.
-type run struct {
+// runResult is the result of one runResult.
+type runResult struct {
 	row, seed        int
 	initialServers   int
 	members          *simulate.MembersResult
@@ -233,17 +233,17 @@
 // Run measures all fleets, several runs at a time.
 func (c *Experiment) Run(ctx context.Context) ([]Row, error) {
 	rows := c.rows()
-	if err := c.check(rows); err != nil {
+	if err := c.validate(rows); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	runs := make([][]run, len(rows))
-	var failed error
+	runs := make([][]runResult, len(rows))
+	var firstErr error
 	finished := 0
-	for r := range c.playAll(ctx, rows) {
+	for r := range c.runAll(ctx, rows) {
 		if r.err != nil {
-			failed = cmp.Or(failed, r.err)
+			firstErr = cmp.Or(firstErr, r.err)
 			cancel()
 			continue
 		}
@@ -252,11 +252,11 @@
 			fmt.Fprintf(c.Progress, "%d of %d runs played\n", finished, len(rows)*c.Seeds)
 		}
 	}
-	if err := cmp.Or(failed, ctx.Err()); err != nil {
+	if err := cmp.Or(firstErr, ctx.Err()); err != nil {
 		return nil, err
 	}
 	for i := range rows {
-		slices.SortFunc(runs[i], func(a, b run) int { return cmp.Compare(a.seed, b.seed) })
+		slices.SortFunc(runs[i], func(a, b runResult) int { return cmp.Compare(a.seed, b.seed) })
 		rows[i].aggregate(runs[i])
 	}
 	return rows, nil
@@ -277,24 +277,24 @@
 	return rows
 }
 
-func (c *Experiment) check(rows []Row) error {
-	if len(rows) == 0 || c.Seeds < 1 || c.Load <= 0 || c.Cores < 1 || c.FallMultiple <= 0 || c.MeanWork <= 0 ||
+func (c *Experiment) validate(rows []Row) error {
+	if len(rows) == 0 || c.Seeds < 1 || c.Utilization <= 0 || c.Cores < 1 || c.FallMultiple <= 0 || c.MeanWork <= 0 ||
 		c.LatencyObjective <= 0 || c.RestartFraction <= 0 || c.RestartFraction > 1 {
 		return errors.New("members-cold: no fleets, or a figure that is not above 0, or a share at once above 1")
 	}
 	return nil
 }
 
-// playAll plays each row with each seed, Jobs runs at a time. The channel is closed when all runs are done, or those
+// runAll plays each row with each seed, Jobs runs at a time. The channel is closed when all runs are done, or those
 // under way when ctx ended.
-func (c *Experiment) playAll(ctx context.Context, rows []Row) <-chan run {
+func (c *Experiment) runAll(ctx context.Context, rows []Row) <-chan runResult {
 	type job struct{ row, seed int }
-	jobs, done := make(chan job), make(chan run)
+	jobs, done := make(chan job), make(chan runResult)
 	var workers sync.WaitGroup
 	for range max(c.Jobs, 1) {
 		workers.Go(func() {
 			for j := range jobs {
-				r := c.play(ctx, &rows[j.row], uint64(j.seed+1))
+				r := c.runOne(ctx, &rows[j.row], uint64(j.seed+1))
 				r.row, r.seed = j.row, j.seed
 				done <- r
 			}
@@ -315,25 +315,25 @@
 	return done
 }
 
-// play plays one run; it does not change the row.
-func (c *Experiment) play(ctx context.Context, row *Row, seed uint64) run {
-	all, changes, err := fleetChange(row.Change, row.Sidecars)
+// runOne plays one run; it does not change the row.
+func (c *Experiment) runOne(ctx context.Context, row *Row, seed uint64) runResult {
+	total, changes, err := fleetChange(row.Change, row.Sidecars)
 	if err != nil {
-		return run{err: err}
+		return runResult{err: err}
 	}
-	p, base, err := c.plan(row.Sidecars, row.Rate, all, seed)
+	p, initial, err := c.plan(row.Sidecars, row.Rate, total, seed)
 	if err != nil {
-		return run{err: err}
+		return runResult{err: err}
 	}
-	played, err := simulate.Run(ctx, p, simulate.Options{Members: &simulate.Members{
+	result, err := simulate.Run(ctx, p, simulate.Options{Members: &simulate.Members{
 		Count: row.CountMode, Peers: row.Sidecars, Changes: changes, MeanWork: float64(c.MeanWork) / float64(time.Millisecond),
 	}})
 	if err != nil {
-		return run{err: fmt.Errorf("members-cold: %d sidecars, %s, %s, seed %d: %w", row.Sidecars, row.Change,
+		return runResult{err: fmt.Errorf("members-cold: %d sidecars, %s, %s, seed %d: %w", row.Sidecars, row.Change,
 			row.CountMode, seed, err)}
 	}
-	return run{initialServers: base, members: played.Members, figures: measure.Compute(p, played.Events, played.WorkDone).Figures,
-		fullTrafficAfter: fullTrafficTimes(played)}
+	return runResult{initialServers: initial, members: result.Members, figures: measure.Compute(p, result.Events, result.WorkDone).Figures,
+		fullTrafficAfter: fullTrafficTimes(result)}
 }
 
 // fullTrafficTimes returns, for each group of servers that started together, the ms until it got its part of all sends,
@@ -378,7 +378,7 @@
 }
 
 // aggregate works out a row from its runs.
-func (r *Row) aggregate(runs []run) {
+func (r *Row) aggregate(runs []runResult) {
 	var times []float64
 	for _, run := range runs {
 		n, peak := float64(len(runs)), 0.0
--- a/internal/lab/experiment/membercold/membercold_test.go
+++ b/internal/lab/experiment/membercold/membercold_test.go
@@ -15,23 +15,23 @@
 // All servers restart at once before many small sidecars. Without a bound servers fall while they warm up; a budget lowers their load.
 func TestExperiment_serversFallWithoutBudget(t *testing.T) {
 	m := membercold.Experiment{Sidecars: []int{1000}, Rates: []float64{0.2}, FleetChanges: []string{"split-alone"},
-		Seeds: 2, Load: 0.45, RestartFraction: 1, Cores: 4, FallMultiple: 4, MeanWork: 100 * time.Millisecond, LatencyObjective: 600 * time.Millisecond, Jobs: 2,
+		Seeds: 2, Utilization: 0.45, RestartFraction: 1, Cores: 4, FallMultiple: 4, MeanWork: 100 * time.Millisecond, LatencyObjective: 600 * time.Millisecond, Jobs: 2,
 		CountModes: []simulate.CountMode{simulate.CountMembership, simulate.CountUnbounded}}
 	rows, err := m.Run(context.Background())
 	require.NoError(t, err)
 	require.Len(t, rows, 2)
-	rule, free := rows[0], rows[1]
-	assert.Equal(t, rule.SlowStarts, free.SlowStarts)
-	assert.Positive(t, free.Overloaded)
-	assert.Greater(t, free.Peak, 1.0)
-	assert.LessOrEqual(t, rule.Overloaded, free.Overloaded)
-	assert.Greater(t, rule.FullTrafficAfter, free.FullTrafficAfter)
-	assert.LessOrEqual(t, rule.AssumedMax, 1+1e-9)
+	limited, unbounded := rows[0], rows[1]
+	assert.Equal(t, limited.SlowStarts, unbounded.SlowStarts)
+	assert.Positive(t, unbounded.Overloaded)
+	assert.Greater(t, unbounded.Peak, 1.0)
+	assert.LessOrEqual(t, limited.Overloaded, unbounded.Overloaded)
+	assert.Greater(t, limited.FullTrafficAfter, unbounded.FullTrafficAfter)
+	assert.LessOrEqual(t, limited.AssumedMax, 1+1e-9)
 }
 
 func TestExperiment_invalidOptions(t *testing.T) {
 	m := membercold.Experiment{Sidecars: []int{10}, Rates: []float64{0.2}, FleetChanges: []string{"nothing"},
-		Seeds: 1, Load: 0.45, RestartFraction: 1, Cores: 4, FallMultiple: 4, MeanWork: 100 * time.Millisecond,
+		Seeds: 1, Utilization: 0.45, RestartFraction: 1, Cores: 4, FallMultiple: 4, MeanWork: 100 * time.Millisecond,
 		LatencyObjective: 600 * time.Millisecond, CountModes: []simulate.CountMode{simulate.CountMembership}}
 	_, err := m.Run(context.Background())
 	assert.ErrorContains(t, err, `"nothing"`)
--- a/internal/lab/experiment/memberscale/fleet.go
+++ b/internal/lab/experiment/memberscale/fleet.go
@@ -27,13 +27,13 @@
 	group *membership.Group
 	port  *gossip.Port
 
-	mu             sync.Mutex
-	view           roster.View
-	trace          []timedView // while it is traced
-	traced         bool
-	silentEvents   int // members that became unreachable, so far
-	goneEvents     int // members that were no longer known, so far
-	maxUnreachable int // known members that were not reachable at one time
+	mu                sync.Mutex
+	view              roster.View
+	trace             []timedView // while it is traced
+	traced            bool
+	unreachableEvents int // members that became unreachable, so far
+	removedEvents     int // members that were no longer known, so far
+	maxUnreachable    int // known members that were not reachable at one time
 }
 
 // timedView is a view and when it was reported.
@@ -42,15 +42,15 @@
 	view roster.View
 }
 
-// viewChanged counts what a new view changes.
-func (s *member) viewChanged(v roster.View) {
+// recordView counts what a new view changes.
+func (s *member) recordView(v roster.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if v == s.view {
 		return
 	}
-	s.silentEvents += max(s.view.Reachable-v.Reachable, 0)
-	s.goneEvents += max(s.view.Known-v.Known, 0)
+	s.unreachableEvents += max(s.view.Reachable-v.Reachable, 0)
+	s.removedEvents += max(s.view.Known-v.Known, 0)
 	s.maxUnreachable = max(s.maxUnreachable, v.Known-v.Reachable)
 	s.view = v
 	if s.traced {
@@ -82,14 +82,14 @@
 	experiment *Experiment
 	network    *gossip.Network
 	members    []*member
-	joined     time.Duration
+	joinTime   time.Duration
 }
 
 // startsPerInterval is how many members start between two probes of one, as when a platform starts a fleet.
 const startsPerInterval = 200
 
-// open starts a fleet and waits until all agree and are admitted.
-func (m *Experiment) open(ctx context.Context, n int, rules gossip.Rules) (*fleet, error) {
+// openFleet starts a fleet and waits until all agree and are admitted.
+func (m *Experiment) openFleet(ctx context.Context, n int, rules gossip.Rules) (*fleet, error) {
 	f := &fleet{experiment: m, network: gossip.New(m.Seed, rules)}
 	start := time.Now()
 	for i := range n {
@@ -103,7 +103,7 @@
 		}
 		s := &member{port: port, view: roster.View{Known: n, Reachable: 1}}
 		cfg := membership.Config{Name: fmt.Sprintf("m%04d", i), Fleet: "scale", Zone: "here", Role: "sidecar", Peers: n,
-			Interval: m.Interval, TrustRefused: true, Defect: m.Defect, Transport: port, ViewChanged: s.viewChanged}
+			Interval: m.Interval, TrustRefused: true, Defect: m.Defect, Transport: port, ViewChanged: s.recordView}
 		for k := range min(3, n) {
 			if k != i {
 				cfg.Seeds = append(cfg.Seeds, gossip.Addr(k).String())
@@ -117,7 +117,7 @@
 	if err := f.awaitAgreement(ctx, true); err != nil {
 		return nil, errors.Join(err, f.close())
 	}
-	f.joined = time.Since(start)
+	f.joinTime = time.Since(start)
 	return f, nil
 }
 
@@ -170,11 +170,11 @@
 		reports[i] = s.group.Report()
 		ids[i] = reports[i].Self
 	}
-	return disagreement(reports, ids)
+	return checkAgreement(reports, ids)
 }
 
-// disagreement returns an error for the first report that does not have exactly the running members as alive.
-func disagreement(reports []membership.Report, running []roster.ID) error {
+// checkAgreement returns an error for the first report that does not have exactly the running members as alive.
+func checkAgreement(reports []membership.Report, running []roster.ID) error {
 	running = slices.Clone(running)
 	byID := func(a, b roster.ID) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start)) }
 	slices.SortFunc(running, byID)
@@ -227,15 +227,15 @@
 // baseline for the next fleet.
 func (f *fleet) measureIdle(ctx context.Context, baseline *baselineUsage) (*IdleCost, LossResult, error) {
 	m, n := f.experiment, len(f.members)
-	out := &IdleCost{Joined: f.joined.Seconds()}
+	cost := &IdleCost{JoinSeconds: f.joinTime.Seconds()}
 	for _, s := range f.members {
 		if s.currentView().Forced {
-			out.Forced++
+			cost.ForcedAdmissions++
 		}
 	}
-	out.Quiet = f.awaitQuiet(ctx)
+	cost.Quiet = f.awaitQuiet(ctx)
 	memory := memoryInUse()
-	out.Memory = float64(memory-baseline.memory) / 1024 / float64(n)
+	cost.Memory = float64(memory-baseline.memory) / 1024 / float64(n)
 	// Full state exchanges are rare, so small fleets are measured for longer.
 	window := min(max(m.IdleWindow, 60*m.Interval/time.Duration(n)), 3*m.IdleWindow)
 	sentBytes, sentPackets := f.sentTotals()
@@ -245,11 +245,11 @@
 	memberSeconds := float64(n) * seconds
 	processors := (cpuTime() - cpu).Seconds() / seconds
 	bytes, packets := f.sentTotals()
-	out.Bytes, out.Packets = float64(bytes-sentBytes)/memberSeconds, float64(packets-sentPackets)/memberSeconds
-	out.CPU = 1e6 * (processors - baseline.cpu) / float64(n)
-	out.Minutes = memberSeconds / 60
+	cost.Bytes, cost.Packets = float64(bytes-sentBytes)/memberSeconds, float64(packets-sentPackets)/memberSeconds
+	cost.CPU = 1e6 * (processors - baseline.cpu) / float64(n)
+	cost.MemberMinutes = memberSeconds / 60
 	*baseline = baselineUsage{memory: memory, cpu: processors}
-	return out, noLoss, err
+	return cost, noLoss, err
 }
 
 func (f *fleet) sentTotals() (bytes, packets uint64) {
@@ -279,24 +279,24 @@
 
 // countEvents counts for some time how often members are held for dead.
 func (f *fleet) countEvents(ctx context.Context, l LossResult, window time.Duration) (LossResult, error) {
-	totals := func() (silent, gone, maxUnreachable int) {
+	totals := func() (unreachable, removed, maxUnreachable int) {
 		for _, s := range f.members {
 			s.mu.Lock()
-			silent, gone = silent+s.silentEvents, gone+s.goneEvents
+			unreachable, removed = unreachable+s.unreachableEvents, removed+s.removedEvents
 			maxUnreachable = max(maxUnreachable, s.maxUnreachable)
 			s.maxUnreachable = 0
 			s.mu.Unlock()
 		}
-		return silent, gone, maxUnreachable
+		return unreachable, removed, maxUnreachable
 	}
-	silentBefore, goneBefore, _ := totals()
+	unreachableBefore, removedBefore, _ := totals()
 	start := time.Now()
 	harness.Sleep(ctx, window)
 	hours := time.Since(start).Hours()
 	silent, gone, maxUnreachable := totals()
 	n := float64(len(f.members))
-	l.Hours, l.SilentEvents, l.GoneEvents, l.MaxUnreachable = n*hours, silent-silentBefore, gone-goneBefore, maxUnreachable
-	l.SilentPerHour, l.GonePerHour = float64(l.SilentEvents)/(n-1)/l.Hours, float64(l.GoneEvents)/(n-1)/l.Hours
+	l.MemberHours, l.UnreachableEvents, l.RemovedEvents, l.MaxUnreachable = n*hours, silent-unreachableBefore, gone-removedBefore, maxUnreachable
+	l.UnreachablePerHour, l.RemovedPerHour = float64(l.UnreachableEvents)/(n-1)/l.MemberHours, float64(l.RemovedEvents)/(n-1)/l.MemberHours
 	return l, context.Cause(ctx)
 }
 
@@ -320,7 +320,7 @@
 	if err != nil {
 		return l, err
 	}
-	l.Agree = f.timeToAgree(ctx)
+	l.AgreeSeconds = f.timeToAgree(ctx)
 	return l, context.Cause(ctx)
 }
 
@@ -328,7 +328,7 @@
 // small part notices last: in the gossip library a member that reaches no other probes more and more rarely.
 func (f *fleet) measureSplit(ctx context.Context, name string, first int) (*SplitResult, error) {
 	n := len(f.members)
-	out := &SplitResult{Parts: name, Noticed: -1, Agree: -1}
+	result := &SplitResult{Parts: name, NoticeSeconds: -1, AgreeSeconds: -1}
 	part, partSize := map[netip.AddrPort]int{}, map[*member]int{}
 	for i, s := range f.members {
 		if partSize[s] = n - first; i < first {
@@ -341,17 +341,17 @@
 		return 2*partSize[s] < n || s.currentView().Reachable == partSize[s]
 	})
 	if err == nil {
-		out.Noticed = time.Since(start).Seconds()
+		result.NoticeSeconds = time.Since(start).Seconds()
 	}
 	for _, s := range f.members {
-		out.CountedGone = max(out.CountedGone, n-s.currentView().Known)
+		result.MaxRemoved = max(result.MaxRemoved, n-s.currentView().Known)
 		if partSize[s] == min(first, n-first) {
-			out.StillReachable = max(out.StillReachable, s.currentView().Reachable)
+			result.StillReachable = max(result.StillReachable, s.currentView().Reachable)
 		}
 	}
 	f.network.Heal()
-	out.Agree = f.timeToAgree(ctx)
-	return out, context.Cause(ctx)
+	result.AgreeSeconds = f.timeToAgree(ctx)
+	return result, context.Cause(ctx)
 }
 
 // measureCrash ends some members at once, without a message; their hosts stay.
@@ -363,20 +363,20 @@
 		s.traced = true
 		s.mu.Unlock()
 	}
-	ended := f.members[n-crashed:]
+	crashedMembers := f.members[n-crashed:]
 	f.members = f.members[:n-crashed]
 	start := time.Now()
-	if err := harness.Parallel(crashed, crashed, func(i int) error { return ended[i].group.Close() }); err != nil {
+	if err := harness.Parallel(crashed, crashed, func(i int) error { return crashedMembers[i].group.Close() }); err != nil {
 		return nil, err
 	}
 	// Events that did not come in time show as -1 in the result.
 	_ = f.await(ctx, "has not counted out who ended", func(s *member) bool { return s.currentView().Known == n-crashed })
-	out := &CrashResult{Crashed: crashed}
+	result := &CrashResult{Crashed: crashed}
 	detected := f.crashTimes(start, n, crashed, func(v roster.View) int { return v.Reachable })
-	out.DetectP50, out.DetectP99, out.DetectAll = secondsAt(detected, 0.5), secondsAt(detected, 0.99), secondsAt(detected, 1)
-	gone := f.crashTimes(start, n, crashed, func(v roster.View) int { return v.Known })
-	out.GoneP50, out.GoneP99, out.GoneAll = secondsAt(gone, 0.5), secondsAt(gone, 0.99), secondsAt(gone, 1)
-	return out, context.Cause(ctx)
+	result.DetectP50, result.DetectP99, result.DetectAll = quantileSeconds(detected, 0.5), quantileSeconds(detected, 0.99), quantileSeconds(detected, 1)
+	removed := f.crashTimes(start, n, crashed, func(v roster.View) int { return v.Known })
+	result.RemovedP50, result.RemovedP99, result.RemovedAll = quantileSeconds(removed, 0.5), quantileSeconds(removed, 0.99), quantileSeconds(removed, 1)
+	return result, context.Cause(ctx)
 }
 
 // crashTimes returns, for each member that is left and each one that crashed, the seconds until a count of the view no
@@ -397,8 +397,8 @@
 	return times
 }
 
-// secondsAt returns a quantile of sorted times, rounded up to the next of them; -1 where it is infinite.
-func secondsAt(sorted []float64, q float64) float64 {
+// quantileSeconds returns a quantile of sorted times, rounded up to the next of them; -1 where it is infinite.
+func quantileSeconds(sorted []float64, q float64) float64 {
 	seconds := harness.UpperQuantile(sorted, q)
 	if math.IsInf(seconds, 1) {
 		return -1
--- a/internal/lab/experiment/memberscale/memberscale.go
+++ b/internal/lab/experiment/memberscale/memberscale.go
@@ -41,15 +41,15 @@
 type Result struct {
 	Sizes []SizeResult `json:"sizes"`
 	// The cost of one member grows as the fleet's size to the power of these, from the smallest to the largest fleet.
-	BytesGrow float64 `json:"bytes_grow"`
-	CPUGrow   float64 `json:"cpu_grow"`
+	BytesExponent float64 `json:"bytes_grow"`
+	CPUExponent   float64 `json:"cpu_grow"`
 	// LagP99MS is the lag of a timer of this process while fleets ran side by side. Late tells that it was above
 	// maxLagP99MS: the machine was too busy for what was measured then to count.
-	LagP99MS   float64         `json:"lag_p99_ms"`
-	Late       bool            `json:"late"`
-	Unmeasured []string        `json:"unmeasured"` // what, and why
-	Processes  []ProcessResult `json:"processes,omitempty"`
-	TookS      float64         `json:"took_s"`
+	LagP99MS       float64         `json:"lag_p99_ms"`
+	TooBusy        bool            `json:"late"`
+	Unmeasured     []string        `json:"unmeasured"` // what, and why
+	Processes      []ProcessResult `json:"processes,omitempty"`
+	ElapsedSeconds float64         `json:"took_s"`
 }
 
 // SizeResult is what one size of fleet showed. Times are in seconds; -1: the event did not come within EventTimeout.
@@ -63,49 +63,49 @@
 
 // IdleCost is what a fleet costs when nothing happens.
 type IdleCost struct {
-	Joined  float64 `json:"joined_s"`             // from the first start until all agree and are admitted
-	Forced  int     `json:"forced"`               // admitted only because admit_within was over
-	Bytes   float64 `json:"bytes_per_member_s"`   // sent, of packets and streams
-	Packets float64 `json:"packets_per_member_s"` // sent
-	CPU     float64 `json:"cpu_us_per_member_s"`  // the simulated network's included, the kernel's not
-	Memory  float64 `json:"kb_per_member"`        // heap and stacks
-	Quiet   bool    `json:"quiet"`                // false: members still gossiped about the joining
-	Minutes float64 `json:"member_minutes"`       // over which the costs were measured
+	JoinSeconds      float64 `json:"joined_s"`             // from the first start until all agree and are admitted
+	ForcedAdmissions int     `json:"forced"`               // admitted only because admit_within was over
+	Bytes            float64 `json:"bytes_per_member_s"`   // sent, of packets and streams
+	Packets          float64 `json:"packets_per_member_s"` // sent
+	CPU              float64 `json:"cpu_us_per_member_s"`  // the simulated network's included, the kernel's not
+	Memory           float64 `json:"kb_per_member"`        // heap and stacks
+	Quiet            bool    `json:"quiet"`                // false: members still gossiped about the joining
+	MemberMinutes    float64 `json:"member_minutes"`       // over which the costs were measured
 }
 
 // CrashResult is how long the members that are left take to detect that some members crashed at once. Quantiles are
 // over all pairs of a crashed member and one that is left.
 type CrashResult struct {
-	Crashed   int     `json:"crashed"`
-	DetectP50 float64 `json:"detect_p50_s"` // silent: the failure detector holds it for dead
-	DetectP99 float64 `json:"detect_p99_s"`
-	DetectAll float64 `json:"detect_all_s"` // everywhere
-	GoneP50   float64 `json:"gone_p50_s"`   // gone: it no longer counts as a member
-	GoneP99   float64 `json:"gone_p99_s"`
-	GoneAll   float64 `json:"gone_all_s"`
+	Crashed    int     `json:"crashed"`
+	DetectP50  float64 `json:"detect_p50_s"` // silent: the failure detector holds it for dead
+	DetectP99  float64 `json:"detect_p99_s"`
+	DetectAll  float64 `json:"detect_all_s"` // everywhere
+	RemovedP50 float64 `json:"gone_p50_s"`   // gone: it no longer counts as a member
+	RemovedP99 float64 `json:"gone_p99_s"`
+	RemovedAll float64 `json:"gone_all_s"`
 }
 
 // LossResult is how often running members are held for dead while packets are lost or processor time is short. An event
 // counts once for each member that sees it.
 type LossResult struct {
-	Loss           float64 `json:"loss"`
-	Starved        bool    `json:"starved"`
-	Hours          float64 `json:"member_hours"`
-	SilentPerHour  float64 `json:"deaths_per_member_hour"` // held for dead, the mean over all pairs of members
-	GonePerHour    float64 `json:"gone_per_member_hour"`   // and no longer counted as a member
-	SilentEvents   int     `json:"deaths_seen"`
-	GoneEvents     int     `json:"gone_seen"`
-	MaxUnreachable int     `json:"most_unheard"` // members that one member held for dead at one time
-	Agree          float64 `json:"agree_s"`      // from the end of the fault until all agree
+	Loss               float64 `json:"loss"`
+	Starved            bool    `json:"starved"`
+	MemberHours        float64 `json:"member_hours"`
+	UnreachablePerHour float64 `json:"deaths_per_member_hour"` // held for dead, the mean over all pairs of members
+	RemovedPerHour     float64 `json:"gone_per_member_hour"`   // and no longer counted as a member
+	UnreachableEvents  int     `json:"deaths_seen"`
+	RemovedEvents      int     `json:"gone_seen"`
+	MaxUnreachable     int     `json:"most_unheard"` // members that one member held for dead at one time
+	AgreeSeconds       float64 `json:"agree_s"`      // from the end of the fault until all agree
 }
 
 // SplitResult is how a fleet that was partitioned comes together again.
 type SplitResult struct {
 	Parts          string  `json:"parts"`
-	Noticed        float64 `json:"noticed_s"`   // until each part of half the fleet or more holds all others for dead
+	NoticeSeconds  float64 `json:"noticed_s"`   // until each part of half the fleet or more holds all others for dead
 	StillReachable int     `json:"still_hears"` // members that one of the smallest part reached when the split was healed, at most
-	Agree          float64 `json:"agree_s"`     // from the healing until all agree
-	CountedGone    int     `json:"counted_out"` // members that one member no longer counted, at most
+	AgreeSeconds   float64 `json:"agree_s"`     // from the healing until all agree
+	MaxRemoved     int     `json:"counted_out"` // members that one member no longer counted, at most
 }
 
 // Default returns the full measurement, or a quick one that only shows that the procedure works. The full
@@ -189,7 +189,7 @@
 		})
 	}
 	m.summarize(r.result, lag)
-	r.result.TookS = time.Since(r.start).Seconds()
+	r.result.ElapsedSeconds = time.Since(r.start).Seconds()
 	return r.result, context.Cause(ctx) // a measurement cut short by TotalTimeout is no error; Unmeasured names it
 }
 
@@ -198,7 +198,7 @@
 	fleets := make([]*fleet, len(sizes))
 	baseline := baselineUsage{memory: memoryInUse()}
 	for i, size := range sizes {
-		f, err := r.open(r.ctx, size.Members, gossip.Rules{})
+		f, err := r.openFleet(r.ctx, size.Members, gossip.Rules{})
 		if err != nil {
 			r.recordOutcome(size, "come together", err)
 			continue
@@ -247,7 +247,7 @@
 
 // withFleet opens a fleet, measures with it and closes it.
 func (r *measurement) withFleet(size *SizeResult, measure func(*fleet)) {
-	f, err := r.open(r.ctx, size.Members, gossip.Rules{Delay: networkDelay})
+	f, err := r.openFleet(r.ctx, size.Members, gossip.Rules{Delay: networkDelay})
 	if err == nil {
 		measure(f)
 		err = f.close()
@@ -308,7 +308,7 @@
 			counting.Done()
 			<-restored
 			if err == nil {
-				l.Agree = f.timeToAgree(r.ctx)
+				l.AgreeSeconds = f.timeToAgree(r.ctx)
 				err = context.Cause(r.ctx)
 			}
 			if r.recordOutcome(sizes[i], "starved of processor", errors.Join(err, f.close())) {
@@ -326,7 +326,7 @@
 func (m *Experiment) summarize(r *Result, lag []time.Duration) {
 	if slices.Sort(lag); len(lag) > 0 {
 		r.LagP99MS = harness.Milliseconds(harness.UpperQuantile(lag, 0.99))
-		r.Late = r.LagP99MS > maxLagP99MS
+		r.TooBusy = r.LagP99MS > maxLagP99MS
 	}
 	var idle []SizeResult
 	for _, s := range r.Sizes {
@@ -341,6 +341,6 @@
 	exponent := func(from, to float64) float64 {
 		return math.Log(to/from) / math.Log(float64(largest.Members)/float64(smallest.Members))
 	}
-	r.BytesGrow = exponent(smallest.Idle.Bytes, largest.Idle.Bytes)
-	r.CPUGrow = exponent(smallest.Idle.CPU, largest.Idle.CPU)
+	r.BytesExponent = exponent(smallest.Idle.Bytes, largest.Idle.Bytes)
+	r.CPUExponent = exponent(smallest.Idle.CPU, largest.Idle.CPU)
 }
--- a/internal/lab/experiment/memberscale/memberscale_test.go
+++ b/internal/lab/experiment/memberscale/memberscale_test.go
@@ -36,21 +36,21 @@
 		assert.Positive(t, s.Idle.Bytes)
 		assert.Positive(t, s.Idle.CPU)
 		assert.Positive(t, s.Crash.DetectAll)
-		assert.GreaterOrEqual(t, s.Crash.GoneAll, s.Crash.DetectP50, "gone only after it was silent")
+		assert.GreaterOrEqual(t, s.Crash.RemovedAll, s.Crash.DetectP50, "gone only after it was silent")
 		want := 1 + len(m.Losses)
 		if s.Members <= m.MaxConcurrentSize {
 			want++ // starved
 		}
 		require.Len(t, s.Losses, want)
 		for _, l := range s.Losses {
-			assert.Zero(t, l.GoneEvents, "a living member is counted out at %+v", l)
-			assert.GreaterOrEqual(t, l.Agree, 0.0)
+			assert.Zero(t, l.RemovedEvents, "a living member is counted out at %+v", l)
+			assert.GreaterOrEqual(t, l.AgreeSeconds, 0.0)
 		}
 		require.Len(t, s.Splits, 2)
 		for _, x := range s.Splits {
-			assert.Positive(t, x.Noticed)
-			assert.Positive(t, x.Agree)
-			assert.Zero(t, x.CountedGone, "a member that is cut off still counts")
+			assert.Positive(t, x.NoticeSeconds)
+			assert.Positive(t, x.AgreeSeconds)
+			assert.Zero(t, x.MaxRemoved, "a member that is cut off still counts")
 		}
 	}
 	var out bytes.Buffer
@@ -79,18 +79,18 @@
 }
 
 // The check of agreement fails where a member is unreachable, and where the numbers are right and the names are not.
-func TestDisagreement_isDetected(t *testing.T) {
+func TestCheckAgreement_detectsDisagreement(t *testing.T) {
 	checkLeaks(t)
 	m := Default(true)
 	m.EventTimeout = 2 * time.Second
-	f, err := m.open(t.Context(), 4, gossip.Rules{})
+	f, err := m.openFleet(t.Context(), 4, gossip.Rules{})
 	require.NoError(t, err)
 	defer f.close()
 	require.NoError(t, f.awaitAgreement(t.Context(), true))
 	f.network.Vanish(gossip.Addr(3), true)
 	x, err := f.measureSplit(t.Context(), "one and the rest", 1) // heals all but what vanished
 	require.NoError(t, err)
-	assert.EqualValues(t, -1, x.Agree)
+	assert.EqualValues(t, -1, x.AgreeSeconds)
 	assert.ErrorContains(t, f.awaitAgreement(t.Context(), false), "does not agree")
 
 	a, b, c := roster.ID{Name: "a", Start: 1}, roster.ID{Name: "b", Start: 1}, roster.ID{Name: "b", Start: 2}
@@ -103,24 +103,24 @@
 	}
 	running := []roster.ID{b, a}
 	good := sees(membership.Alive, a, b)
-	require.NoError(t, disagreement([]membership.Report{good, sees(membership.Suspected, b, a)}, running))
+	require.NoError(t, checkAgreement([]membership.Report{good, sees(membership.Suspected, b, a)}, running))
 	for _, bad := range []membership.Report{sees(membership.Alive, a, c), sees(membership.Alive, a),
 		sees(membership.Alive, a, b, c), sees(membership.Unreachable, a, b), sees(membership.Removed, a, b)} {
-		require.Error(t, disagreement([]membership.Report{good, bad}, running))
+		require.Error(t, checkAgreement([]membership.Report{good, bad}, running))
 	}
 }
 
 // In a fleet that trusts its failure detector members that are only cut off count as gone, and the result shows it.
-func TestMeasureSplit_detectsCountedGone(t *testing.T) {
+func TestMeasureSplit_countsRemoved(t *testing.T) {
 	checkLeaks(t)
 	m := Default(true)
 	m.Defect = membership.DefectTrustDetector
-	f, err := m.open(t.Context(), 6, gossip.Rules{})
+	f, err := m.openFleet(t.Context(), 6, gossip.Rules{})
 	require.NoError(t, err)
 	defer f.close()
 	x, err := f.measureSplit(t.Context(), "half and half", 3)
 	require.NoError(t, err)
-	assert.Positive(t, x.CountedGone)
+	assert.Positive(t, x.MaxRemoved)
 }
 
 func TestMeasureProcesses_idle(t *testing.T) {
@@ -133,8 +133,8 @@
 	require.NoError(t, err)
 	require.Len(t, r.Processes, 2)
 	for i, p := range r.Processes {
-		assert.Equal(t, i == 1, p.Section)
-		assert.Equal(t, i == 1, p.Joined > 0)
+		assert.Equal(t, i == 1, p.WithMembers)
+		assert.Equal(t, i == 1, p.JoinSeconds > 0)
 		assert.Positive(t, p.RSS)
 	}
 	_, err = m.MeasureProcesses(t.Context(), s, programs.Marblelane, 50*time.Millisecond)
--- a/internal/lab/experiment/memberscale/print.go
+++ b/internal/lab/experiment/memberscale/print.go
@@ -14,12 +14,12 @@
 		fmt.Fprintf(w, "Real processes, idle\n%8s %8s %12s %8s %9s\n", "members", "section", "us/member s", "MB", "joined s")
 	}
 	for _, p := range r.Processes {
-		fmt.Fprintf(w, "%8d %8v %12.0f %8.1f %9s\n", p.Members, p.Section, p.CPU, p.RSS, formatSeconds(p.Joined))
+		fmt.Fprintf(w, "%8d %8v %12.0f %8.1f %9s\n", p.Members, p.WithMembers, p.CPU, p.RSS, formatSeconds(p.JoinSeconds))
 	}
 	for _, u := range r.Unmeasured {
 		fmt.Fprintln(w, "NOT MEASURED:", u)
 	}
-	fmt.Fprintf(w, "took %.0f s\n", r.TookS)
+	fmt.Fprintf(w, "took %.0f s\n", r.ElapsedSeconds)
 }
 
 // formatSeconds formats a time that is negative where the event did not come.
@@ -36,18 +36,18 @@
 		"bytes/member s", "packets/ms", "us/member s", "KB/member")
 	for _, p := range r.Sizes {
 		if i := p.Idle; i != nil {
-			fmt.Fprintf(w, "%8d %9s %7d %6v %15.0f %11.1f %12.0f %10.0f\n", p.Members, formatSeconds(i.Joined), i.Forced,
+			fmt.Fprintf(w, "%8d %9s %7d %6v %15.0f %11.1f %12.0f %10.0f\n", p.Members, formatSeconds(i.JoinSeconds), i.ForcedAdmissions,
 				i.Quiet, i.Bytes, i.Packets, i.CPU, i.Memory)
 		}
 	}
 	fmt.Fprintf(w, "the cost of one member grows as the fleet's size to the power of %.2f (bytes), %.2f (CPU)\n",
-		r.BytesGrow, r.CPUGrow)
+		r.BytesExponent, r.CPUExponent)
 	fmt.Fprintf(w, "\nCrash of some at once\n%8s %8s %21s %8s %21s %8s\n", "members", "crashed",
 		"detected p50, p99 s", "all s", "counted out p50, p99", "all s")
 	for _, p := range r.Sizes {
 		if c := p.Crash; c != nil {
 			fmt.Fprintf(w, "%8d %8d %10s %10s %8s %10s %10s %8s\n", p.Members, c.Crashed, formatSeconds(c.DetectP50),
-				formatSeconds(c.DetectP99), formatSeconds(c.DetectAll), formatSeconds(c.GoneP50), formatSeconds(c.GoneP99), formatSeconds(c.GoneAll))
+				formatSeconds(c.DetectP99), formatSeconds(c.DetectAll), formatSeconds(c.RemovedP50), formatSeconds(c.RemovedP99), formatSeconds(c.RemovedAll))
 		}
 	}
 	fmt.Fprintf(w, "\nLiving members taken for dead, and counted out\n%8s %8s %9s %10s %10s %8s %8s %9s %8s\n",
@@ -58,19 +58,19 @@
 			if l.Starved {
 				fault = "starved"
 			}
-			fmt.Fprintf(w, "%8d %8s %9.2f %10.2f %10.2f %8d %8d %9d %8s\n", p.Members, fault, l.Hours, l.SilentPerHour, l.GonePerHour,
-				l.SilentEvents, l.GoneEvents, l.MaxUnreachable, formatSeconds(l.Agree))
+			fmt.Fprintf(w, "%8d %8s %9.2f %10.2f %10.2f %8d %8d %9d %8s\n", p.Members, fault, l.MemberHours, l.UnreachablePerHour, l.RemovedPerHour,
+				l.UnreachableEvents, l.RemovedEvents, l.MaxUnreachable, formatSeconds(l.AgreeSeconds))
 		}
 	}
 	fmt.Fprintf(w, "\nSplit and healed\n%8s %18s %10s %12s %12s %10s\n", "members", "parts",
 		"noticed s", "still hears", "counted out", "agree s")
 	for _, p := range r.Sizes {
 		for _, x := range p.Splits {
-			fmt.Fprintf(w, "%8d %18s %10s %12d %12d %10s\n", p.Members, x.Parts, formatSeconds(x.Noticed), x.StillReachable, x.CountedGone, formatSeconds(x.Agree))
+			fmt.Fprintf(w, "%8d %18s %10s %12d %12d %10s\n", p.Members, x.Parts, formatSeconds(x.NoticeSeconds), x.StillReachable, x.MaxRemoved, formatSeconds(x.AgreeSeconds))
 		}
 	}
 	fmt.Fprintf(w, "\nlag of a timer, p99: %.1f ms\n", r.LagP99MS)
-	if r.Late {
+	if r.TooBusy {
 		fmt.Fprintln(w, "LATE: the processor was short, what was measured side by side does not count")
 	}
 }
--- a/internal/lab/experiment/memberscale/processes.go
+++ b/internal/lab/experiment/memberscale/processes.go
@@ -24,11 +24,11 @@
 
 // ProcessResult is what idle sidecars use.
 type ProcessResult struct {
-	Members int     `json:"members"`
-	Section bool    `json:"section"`             // they have a section members; else the same without it
-	CPU     float64 `json:"cpu_us_per_member_s"` // of one process, mean
-	RSS     float64 `json:"rss_mb"`              // of one process, mean
-	Joined  float64 `json:"joined_s"`            // until all agree, from when the last was ready; 0 without the section
+	Members     int     `json:"members"`
+	WithMembers bool    `json:"section"`             // they have a section members; else the same without it
+	CPU         float64 `json:"cpu_us_per_member_s"` // of one process, mean
+	RSS         float64 `json:"rss_mb"`              // of one process, mean
+	JoinSeconds float64 `json:"joined_s"`            // until all agree, from when the last was ready; 0 without the section
 }
 
 const (
@@ -54,22 +54,22 @@
 			}
 		}
 	}
-	r.TookS = time.Since(start).Seconds()
+	r.ElapsedSeconds = time.Since(start).Seconds()
 	return r, nil
 }
 
 // processFleet is a fleet of sidecar processes.
 type processFleet struct {
-	experiment *Experiment
-	scenario   *scenario.Scenario
-	plan       *scenario.Plan
-	program    string
-	dir        string
-	section    bool
-	seeds      []string // addresses of the first members
-	list       *agent.Agents
-	children   *process.Supervisor
-	sidecars   []*testbed.Sidecar
+	experiment  *Experiment
+	scenario    *scenario.Scenario
+	plan        *scenario.Plan
+	program     string
+	dir         string
+	withMembers bool
+	seeds       []string // addresses of the first members
+	discovery   *agent.Agents
+	children    *process.Supervisor
+	sidecars    []*testbed.Sidecar
 }
 
 func (m *Experiment) measureProcesses(ctx context.Context, s *scenario.Scenario, program string, n int,
@@ -81,32 +81,32 @@
 	defer os.RemoveAll(dir)
 	sized := *s
 	sized.Sidecars.Count = n
-	f := &processFleet{experiment: m, scenario: s, plan: sized.Plan(m.Seed), program: program, dir: dir, section: section,
+	f := &processFleet{experiment: m, scenario: s, plan: sized.Plan(m.Seed), program: program, dir: dir, withMembers: section,
 		children: process.NewSupervisor(), sidecars: make([]*testbed.Sidecar, n)}
 	defer f.close()
 	if err := f.start(ctx); err != nil {
 		return nil, err
 	}
-	out := &ProcessResult{Members: n, Section: section}
+	result := &ProcessResult{Members: n, WithMembers: section}
 	if section {
 		start := time.Now()
 		if err := m.awaitProcessAgreement(ctx, f.sidecars); err != nil {
 			return nil, err
 		}
-		out.Joined = time.Since(start).Seconds()
+		result.JoinSeconds = time.Since(start).Seconds()
 	}
 	// Members gossip about the joining for a while, the longer the larger the fleet.
 	if !harness.Sleep(ctx, m.Interval*time.Duration(5+n/5)) {
 		return nil, context.Cause(ctx)
 	}
-	return out, f.measure(ctx, window, out)
+	return result, f.measure(ctx, window, result)
 }
 
 // start starts the discovery service and then all sidecars, and waits until they are ready.
 func (f *processFleet) start(ctx context.Context) error {
 	n := len(f.sidecars)
 	var err error
-	f.list, err = agent.New(record.New(), n, nil, func(int, int) string { return "" }, func(int) *relay.Link {
+	f.discovery, err = agent.New(record.New(), n, nil, func(int, int) string { return "" }, func(int) *relay.Link {
 		return relay.NewLink(relay.Rules{}, f.experiment.Seed)
 	})
 	if err != nil {
@@ -144,9 +144,9 @@
 // config is a sidecar's configuration.
 func (f *processFleet) config(i int) map[string]any {
 	p := &f.plan.Sidecars[i]
-	config := testbed.BaseConfig(f.scenario, p.Seed, f.list.Addr(i), f.plan.Settings(i))
+	config := testbed.BaseConfig(f.scenario, p.Seed, f.discovery.Addr(i), f.plan.Settings(i))
 	config["name"] = p.Name
-	if f.section {
+	if f.withMembers {
 		members := membership.Section{Fleet: processFleetLabel, Bind: "127.0.0.1:0", Interval: f.experiment.Interval.String()}
 		if i < len(f.seeds) {
 			members.Bind = f.seeds[i]
@@ -191,8 +191,8 @@
 
 func (f *processFleet) close() {
 	f.children.Close()
-	if f.list != nil {
-		f.list.Close()
+	if f.discovery != nil {
+		f.discovery.Close()
 	}
 }
 
@@ -211,7 +211,7 @@
 			for i := range reports {
 				ids[i] = reports[i].Self
 			}
-			if err = disagreement(reports, ids); err == nil {
+			if err = checkAgreement(reports, ids); err == nil {
 				return nil
 			}
 		}
