--- a/internal/lab/experiment/growth/growth.go
+++ b/internal/lab/experiment/growth/growth.go
@@ -1,6 +1,7 @@
-// Package growth compares what a sidecar uses in a large fleet with what it uses in one of the usual size, and holds both
-// against the growth table of the acceptance page. One real sidecar runs through days before stand-in servers that are
-// replaced; whole fleets run through days on a simulated clock. The command is `marblelane lab growth`.
+// Package growth compares what a sidecar uses in a large fleet with what it uses in a fleet of the usual size, and
+// checks the increase against the growth table of the acceptance page. One real sidecar runs for days in front of
+// stand-in servers that are replaced. Whole fleets run for days on a simulated clock. The command is
+// `marblelane lab growth`.
 package growth
 
 import (
@@ -16,7 +17,7 @@
 	"marblelane/internal/lab/harness"
 )
 
-// Size is how large a fleet is.
+// Size is the number of sidecars and servers of a fleet.
 type Size struct {
 	Sidecars int `json:"sidecars"`
 	Servers  int `json:"servers"`
@@ -28,53 +29,53 @@
 	LargestSize = Size{Sidecars: 900, Servers: 3200}
 )
 
-// Options are what a measurement of growth needs.
+// Options configures a measurement of growth.
 type Options struct {
-	Program          string // the sidecar's file
+	Program          string // path of the sidecar's executable
 	Usual, Large     Size
-	Simulated        Sizes         // fleets of the simulated days; zero: Usual and Large
-	Length           time.Duration // of a day of one real sidecar
-	DayLength        time.Duration // of a simulated day
-	Rate             float64       // requests a second of each sidecar
-	Connections      int           // of the clients of the real sidecar
-	ReplacedFraction float64       // of the servers, over a day
-	Steps            int           // steps of a day in which servers are replaced
-	Rounds           int           // pairs of days of the real sidecar, of which the medians count
-	Dir              string        // for the processes' files; empty: a temporary one, removed at the end
-	Progress         io.Writer     // nil: none
-}
-
-// Sizes are the two sizes of a comparison.
+	Simulated        Sizes         // sizes of the simulated fleets; a zero Size means Usual or Large
+	Length           time.Duration // length of a day of the real sidecar
+	DayLength        time.Duration // length of a simulated day
+	Rate             float64       // requests per second of each sidecar
+	Connections      int           // connections from clients to the real sidecar
+	ReplacedFraction float64       // share of the servers that is replaced over a day, 0 to 1
+	Steps            int           // steps per day in which servers are replaced
+	Rounds           int           // pairs of days of the real sidecar; the medians over the pairs are compared
+	Dir              string        // directory of the processes' files; empty means a temporary one, removed at the end
+	Progress         io.Writer     // receives progress messages; nil means none
+}
+
+// Sizes holds the two fleet sizes of a comparison.
 type Sizes struct{ Usual, Large Size }
 
-// Usage is what one sidecar uses over a day.
+// Usage is the resource use and the served share of one sidecar over a day.
 type Usage struct {
-	CPU         float64 `json:"cpu_s"` // user and system, from the start of the process to its end
+	CPU         float64 `json:"cpu_s"` // user and system time, from the start of the process to its end
 	PeakMemory  float64 `json:"peak_memory_mb"`
-	Descriptors float64 `json:"descriptors"` // the most at one time
-	Connections float64 `json:"connections"` // made to servers
-	ListBytes   float64 `json:"list_bytes"`  // received from discovery
-	Served      float64 `json:"served"`      // priority weight that is answered within the latency objective, as a share of all
+	Descriptors float64 `json:"descriptors"` // largest number open at one time
+	Connections float64 `json:"connections"` // number opened to servers
+	ListBytes   float64 `json:"list_bytes"`  // bytes received from the discovery service
+	Served      float64 `json:"served"`      // share of requests, by priority weight, within the latency objective
 }
 
 // Row is one line of the growth table.
 type Row struct {
 	Figure      string  `json:"what"`
-	Subject     string  `json:"of"` // what was measured: one process, or a simulated day
+	Subject     string  `json:"of"` // "one process" or the name of a simulated day
 	Usual       float64 `json:"usual"`
 	Large       float64 `json:"large"`
 	Bound       float64 `json:"bound"`
 	WithinBound bool    `json:"met"`
 }
 
-// Result is the result of a measurement.
+// Result is the outcome of a measurement.
 type Result struct {
 	Usual     Size   `json:"usual"`
 	Large     Size   `json:"large"`
 	Simulated Sizes  `json:"simulated"`
 	Rows      []Row  `json:"rows"`
 	Rounds    []Pair `json:"rounds"`
-	Days      []Day  `json:"days"` // of simulated fleets
+	Days      []Day  `json:"days"` // days of the simulated fleets
 }
 
 // Pair is the usage at the two sizes in one round.
@@ -83,7 +84,7 @@
 	Large Usage `json:"large"`
 }
 
-// Exceeded lists the rows beyond their bound.
+// Exceeded returns the rows that are not within their bound.
 func (g *Result) Exceeded() []Row {
 	return slices.DeleteFunc(slices.Clone(g.Rows), func(r Row) bool { return r.WithinBound })
 }
@@ -97,7 +98,7 @@
 	isLowerLimit                       bool // the bound is a lower limit
 }
 
-// bounds is the growth table of the acceptance page, in its order and in the units of Usage.
+// boundTable is the growth table of the acceptance page, in its order and in the units of Usage.
 var boundTable = []bound{
 	{name: "CPU seconds", figure: cpuOfUsage, factor: 1.4, offset: 0.02, perThousandServers: 0.03},
 	{name: "peak memory, MB", figure: memoryOfUsage, factor: 1.5, offset: 8, perThousandServers: 4},
@@ -114,7 +115,7 @@
 func listBytesOfUsage(n *Usage) float64   { return n.ListBytes }
 func servedOfUsage(n *Usage) float64      { return n.Served }
 
-// row compares the usage at the large size, with this number of servers, with the bound.
+// row compares the usage at the large size with the bound. servers is the number of servers at the large size.
 func (b *bound) row(subject string, pair Pair, servers int) Row {
 	r := Row{Figure: b.name, Subject: subject, Usual: b.figure(&pair.Usual), Large: b.figure(&pair.Large)}
 	r.Bound = b.factor*r.Usual + b.offset + b.perThousandServers*float64(servers)/1000
@@ -126,12 +127,13 @@
 	return r
 }
 
-// medianPair takes the median of each figure over the rounds.
+// medianPair returns the median of each figure over the rounds.
 func medianPair(pairs []Pair) Pair {
 	return Pair{Usual: medianUsage(pairs, func(p *Pair) *Usage { return &p.Usual }),
 		Large: medianUsage(pairs, func(p *Pair) *Usage { return &p.Large })}
 }
 
+// medianUsage returns the median of each figure over one side of the pairs.
 func medianUsage(pairs []Pair, side func(*Pair) *Usage) Usage {
 	medianOf := func(figure func(*Usage) float64) float64 {
 		var all []float64
@@ -144,9 +146,10 @@
 		Connections: medianOf(connectionsOfUsage), ListBytes: medianOf(listBytesOfUsage), Served: medianOf(servedOfUsage)}
 }
 
-// Measure compares what a sidecar uses in a large fleet with what it uses in one of the usual size. One real process
-// before stand-in servers, in pairs of days, gives all figures. Whole fleets on a simulated clock give the share served
-// and the connections made. An error means that a day could not be played.
+// Measure compares what a sidecar uses in a large fleet with what it uses in one of the usual size. All figures are
+// measured with one real process in front of stand-in servers, in pairs of days. The share served and the connections
+// made are also measured with whole fleets on a simulated clock. Measure returns an error if a day could not be run. A
+// figure beyond its bound is not an error: Result.Exceeded returns it.
 func Measure(ctx context.Context, o Options) (*Result, error) {
 	if err := o.validate(); err != nil {
 		return nil, fmt.Errorf("growth: %w", err)
@@ -177,7 +180,7 @@
 	return g, nil
 }
 
-// compareWithBounds compares the medians of the processes, and the simulated days, with the boundTable.
+// compareWithBounds compares the medians of the real process, and each simulated day, with boundTable.
 func compareWithBounds(g *Result) []Row {
 	var rows []Row
 	process := medianPair(g.Rounds)
@@ -185,7 +188,7 @@
 		b := &boundTable[i]
 		rows = append(rows, b.row("one process", process, g.Large.Servers))
 		for k := range g.Days {
-			// Simulated days have no processor time, memory, descriptors or bytes of lists.
+			// Simulated days have no CPU time, memory, descriptors or bytes of lists: those figures are 0.
 			if day := &g.Days[k]; b.figure(&day.Usual) > 0 {
 				rows = append(rows, b.row(day.Name, day.Pair, g.Simulated.Large.Servers))
 			}
@@ -198,26 +201,27 @@
 	return rows
 }
 
+// validate returns an error for the first option that is out of range.
 func (o *Options) validate() error {
 	for _, size := range []Size{o.Usual, o.Large} {
 		if size.Sidecars < 1 || size.Servers < 2 {
-			return fmt.Errorf("%d sidecars and %d servers: at least 1 and 2", size.Sidecars, size.Servers)
+			return fmt.Errorf("%d sidecars and %d servers: want at least 1 sidecar and 2 servers", size.Sidecars, size.Servers)
 		}
 	}
 	switch {
 	case o.Rounds < 1:
-		return fmt.Errorf("%d rounds: at least 1", o.Rounds)
+		return fmt.Errorf("%d rounds: want at least 1", o.Rounds)
 	case o.Length <= 0 || o.DayLength <= 0 || !(o.Rate > 0):
-		return errors.New("a length or the rate is not above 0")
+		return errors.New("length of a day or request rate is not above 0")
 	case o.Connections < 1 || o.Steps < 1:
-		return fmt.Errorf("%d connections and %d steps: at least 1", o.Connections, o.Steps)
+		return fmt.Errorf("%d connections and %d steps: want at least 1 of each", o.Connections, o.Steps)
 	case !(o.ReplacedFraction >= 0 && o.ReplacedFraction <= 1):
-		return fmt.Errorf("share of servers replaced: %v is not between 0 and 1", o.ReplacedFraction)
+		return fmt.Errorf("share of replaced servers: %v is not between 0 and 1", o.ReplacedFraction)
 	}
 	return nil
 }
 
-// progress reports a step that is done.
+// progress writes one line to o.Progress, if set.
 func (o *Options) progress(format string, args ...any) {
 	if o.Progress != nil {
 		fmt.Fprintf(o.Progress, format+"\n", args...)
@@ -241,7 +245,7 @@
 	}
 }
 
-// formatFigure formats large figures without decimals.
+// formatFigure formats figures from 1000 on without decimals, and smaller ones with three.
 func formatFigure(v float64) string {
 	if v >= 1000 {
 		return fmt.Sprintf("%.0f", v)
--- a/internal/lab/experiment/growth/growth_test.go
+++ b/internal/lab/experiment/growth/growth_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A figure just within its bound passes, and one just beyond it does not. The bounds are the acceptance page's, for 2,000
-// servers.
+// A figure 1% inside its bound passes, and one 1% beyond it fails. The bounds are those of the acceptance page for
+// 2,000 servers.
 func TestBounds_atTheLimit(t *testing.T) {
 	usual := Usage{CPU: 0.5, PeakMemory: 20, Descriptors: 30, Connections: 100, ListBytes: 100e3, Served: 0.9}
 	bounds := map[string]float64{
@@ -38,7 +38,8 @@
 	}
 }
 
-// The medians of the rounds count. Figures that a simulated day does not have are compared for the process alone.
+// The medians over the rounds are compared with the bounds. Figures that a simulated day doesn't have are compared for
+// the real process alone.
 func TestRows_medians(t *testing.T) {
 	usual := Usage{CPU: 1, PeakMemory: 1, Descriptors: 1, Connections: 1, ListBytes: 1, Served: 1}
 	exceeding := Usage{CPU: 100, PeakMemory: 1000, Descriptors: 1000, Connections: 1000, ListBytes: 1e9, Served: 0}
@@ -64,14 +65,14 @@
 
 func TestOptions_invalid(t *testing.T) {
 	for want, invalidate := range map[string]func(*Options){
-		"1 servers":               func(o *Options) { o.Large.Servers = 1 },
-		"0 sidecars":              func(o *Options) { o.Usual.Sidecars = 0 },
-		"0 rounds":                func(o *Options) { o.Rounds = 0 },
-		"rate is not above 0":     func(o *Options) { o.Rate = 0 },
-		"0 connections":           func(o *Options) { o.Connections = 0 },
-		"0 steps":                 func(o *Options) { o.Steps = 0 },
-		"1.5 is not between":      func(o *Options) { o.ReplacedFraction = 1.5 },
-		"a length or the rate is": func(o *Options) { o.DayLength = 0 },
+		"1 servers":                          func(o *Options) { o.Large.Servers = 1 },
+		"0 sidecars":                         func(o *Options) { o.Usual.Sidecars = 0 },
+		"0 rounds":                           func(o *Options) { o.Rounds = 0 },
+		"request rate is not above 0":        func(o *Options) { o.Rate = 0 },
+		"0 connections":                      func(o *Options) { o.Connections = 0 },
+		"0 steps":                            func(o *Options) { o.Steps = 0 },
+		"1.5 is not between":                 func(o *Options) { o.ReplacedFraction = 1.5 },
+		"length of a day or request rate is": func(o *Options) { o.DayLength = 0 },
 	} {
 		t.Run(want, func(t *testing.T) {
 			o := quickOptions()
@@ -82,7 +83,8 @@
 	}
 }
 
-// quickOptions is a measurement of some seconds: a real sidecar at full size, and small fleets of the same proportions.
+// quickOptions returns options for a measurement that takes seconds: the real sidecar at full size, and small simulated
+// fleets of the same proportions.
 func quickOptions() Options {
 	return Options{Program: programs.Sidecar, Usual: UsualSize, Large: LargestSize,
 		Simulated: Sizes{Usual: Size{Sidecars: 15, Servers: 10},
@@ -91,7 +93,7 @@
 		Steps: 10, Rounds: 1}
 }
 
-// A sidecar before 3,200 servers stays within the growth table of the acceptance page.
+// A sidecar in front of 3,200 servers stays within the growth table of the acceptance page.
 func TestMeasure_withinBounds(t *testing.T) {
 	g, err := Measure(t.Context(), quickOptions())
 	require.NoError(t, err)
@@ -101,7 +103,7 @@
 	}
 }
 
-// A day that cannot be played is an error that names the size.
+// A day that cannot be run is an error that names the number of servers.
 func TestMeasure_sidecarDoesNotStart(t *testing.T) {
 	o := quickOptions()
 	o.Program = "/nonexistent"
--- a/internal/lab/experiment/growth/process.go
+++ b/internal/lab/experiment/growth/process.go
@@ -1,6 +1,6 @@
 package growth
 
-// This file plays a day of one real sidecar between stand-ins, and measures what it needs.
+// This file runs one real sidecar for a day between a stand-in client and stand-in servers, and measures its usage.
 
 import (
 	"context"
@@ -44,23 +44,23 @@
 `
 
 const (
-	workTime       = 5 * time.Millisecond // of a server per request
+	workTime       = 5 * time.Millisecond // time in which a server handles a request
 	sidecarSeed    = 1
 	sampleInterval = 50 * time.Millisecond
-	drainTime      = 400 * time.Millisecond // from the notification that a server drains until it ends, at most
+	drainTime      = 400 * time.Millisecond // longest time from the notification that a server drains until it ends
 )
 
-// dayRun is a day under way.
+// dayRun is the state of a day of the real sidecar.
 type dayRun struct {
 	options *Options
-	run     *harness.Run // the plan, the folder and the supervisor of the processes
+	run     *harness.Run // the plan, the directory and the supervisor of the processes
 	servers *standInServers
 	agents  *agent.Agents
-	meter   *meteredProxy
-	ids     atomic.Uint64
+	meter   *meteredProxy // counts the bytes from the discovery service to the sidecar
+	ids     atomic.Uint64 // last request ID
 }
 
-// runRound plays a day with each size. The order alternates from round to round.
+// runRound runs a day with each size. The order alternates from round to round.
 func runRound(ctx context.Context, o *Options, round int) (Pair, error) {
 	var pair Pair
 	runSize := func(name string, size Size, usage *Usage) error {
@@ -83,7 +83,8 @@
 	return pair, second()
 }
 
-// runDay starts a sidecar before the servers, sends requests for the day while servers are replaced, and stops it.
+// runDay starts the servers, the discovery service and a sidecar, and measures the sidecar over a day. It fails if the
+// sidecar was not notified of the removal of each replaced server.
 func runDay(ctx context.Context, o *Options, size Size, dir string) (usage Usage, err error) {
 	replaced := int(o.ReplacedFraction * float64(size.Servers))
 	s, err := scenario.Parse("growth.toml", []byte(processScenario))
@@ -111,12 +112,12 @@
 		return usage, err
 	}
 	if notified := d.countRemovalsNotified(); notified < replaced {
-		return usage, fmt.Errorf("the sidecar was told of %d of %d servers that ended", notified, replaced)
+		return usage, fmt.Errorf("sidecar was notified of the removal of %d of %d replaced servers", notified, replaced)
 	}
 	return usage, nil
 }
 
-// countRemovalsNotified returns of how many servers the sidecar was notified that they are gone.
+// countRemovalsNotified returns the number of servers that the sidecar was notified of as removed.
 func (d *dayRun) countRemovalsNotified() int {
 	removed := map[int32]bool{}
 	for _, e := range d.run.Events.Events() {
@@ -140,6 +141,7 @@
 	return err
 }
 
+// entries returns the list entries of the first servers of the plan, all ready.
 func (d *dayRun) entries(listed int) []agent.Entry {
 	var list []agent.Entry
 	for i := range listed {
@@ -150,7 +152,8 @@
 	return list
 }
 
-// launch starts the sidecar, configured for a fleet of this size.
+// launch starts the sidecar with the settings for a fleet of the given size. The list of servers is part of its
+// configuration.
 func (d *dayRun) launch(ctx context.Context, size Size) (*testbed.Sidecar, error) {
 	settings := d.run.Plan.Settings(0)
 	settings["peers_total"] = size.Sidecars
@@ -165,7 +168,8 @@
 	return launcher.Launch(ctx, "sidecar", d.options.Program)
 }
 
-// measureUsage sends requests to the sidecar while servers are replaced, stops it, and measures until it has ended.
+// measureUsage sends requests to the sidecar for the day while servers are replaced, stops the sidecar, and returns its
+// usage up to its end.
 func (d *dayRun) measureUsage(ctx context.Context, p *testbed.Sidecar, listed, replaced int) (Usage, error) {
 	load := testbed.NewLoad(p.Listen, d.run.Scenario.Classes[0].Name, d.options.Rate, d.options.Connections, &d.ids)
 	driving, stopDriving := context.WithCancel(ctx)
@@ -176,7 +180,7 @@
 	background.Go(func() { d.replace(driving, listed, replaced) })
 	start := time.Now()
 	done, err := load.Drive(ctx, d.options.Length)
-	harness.Sleep(ctx, time.Until(start.Add(d.options.Length))) // the day ends some time after the last request
+	harness.Sleep(ctx, time.Until(start.Add(d.options.Length))) // the last request is sent before the end of the day
 	load.Close()
 	stopDriving()
 	background.Wait()
@@ -187,7 +191,7 @@
 	case sampleErr != nil:
 		return Usage{}, sampleErr
 	case p.Err() != nil:
-		return Usage{}, fmt.Errorf("the sidecar ended with %w; its log ends:\n%s", p.Err(), p.LogTail())
+		return Usage{}, fmt.Errorf("sidecar ended with an error: %w; its log ends:\n%s", p.Err(), p.LogTail())
 	case done.Sent == 0:
 		return Usage{}, errors.New("no request was sent")
 	}
@@ -212,7 +216,7 @@
 	}
 }
 
-// replace drains and ends servers in steps, evenly over the day, while new ones take their places.
+// replace drains and then removes servers in steps, evenly over the day. Each step also lists as many new servers.
 func (d *dayRun) replace(ctx context.Context, listed, replaced int) {
 	steps := min(d.options.Steps, replaced)
 	start := time.Now()
@@ -236,6 +240,7 @@
 	}
 }
 
+// close ends the sidecar, the discovery service and the servers.
 func (d *dayRun) close() error {
 	d.run.Close()
 	var err error
@@ -251,21 +256,22 @@
 	return err
 }
 
-// standInServers are stand-in standInServers that give the same answer to each request.
+// standInServers are HTTP servers that send the same response to each request.
 type standInServers struct {
 	http        *http.Server
 	listeners   []net.Listener
-	connections atomic.Int64 // connections made to them
+	connections atomic.Int64 // number of connections that the servers accepted
 	serving     sync.WaitGroup
 }
 
+// startServers starts count servers, each on its own loopback address.
 func startServers(count int) (*standInServers, error) {
 	s := &standInServers{}
 	body := []byte(strings.Repeat("x", 256))
 	s.http = &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(workTime)
-			_, _ = w.Write(body) // fails if the sidecar has ended
+			_, _ = w.Write(body) // the error is ignored: it means that the sidecar has ended
 		}),
 		ConnState: func(_ net.Conn, state http.ConnState) {
 			if state == http.StateNew {
@@ -279,27 +285,29 @@
 			return nil, errors.Join(fmt.Errorf("server %d of %d: %w", len(s.listeners)+1, count, err), s.close())
 		}
 		s.listeners = append(s.listeners, l)
-		s.serving.Go(func() { _ = s.http.Serve(l) }) // until it is closed
+		s.serving.Go(func() { _ = s.http.Serve(l) }) // returns when the server is closed
 	}
 	return s, nil
 }
 
-// serverHost is a loopback address for this server alone. On 127.0.0.1 so many ports would also receive connections
-// that are meant for earlier listeners.
+// serverHost returns a loopback address that only this server uses. With thousands of ports on 127.0.0.1, a server
+// would also receive connections that are meant for an earlier listener on its port.
 func serverHost(server int) string { return fmt.Sprintf("127.16.%d.%d", server>>8, server&255) }
 
+// addr returns the address that a server listens on.
 func (s *standInServers) addr(server int) string { return s.listeners[server].Addr().String() }
 
+// close closes all listeners and connections, and waits until the servers have ended.
 func (s *standInServers) close() error {
 	err := s.http.Close()
-	for _, l := range s.listeners { // those that are not served yet
+	for _, l := range s.listeners { // http.Server doesn't close listeners on which Serve has not started
 		_ = l.Close()
 	}
 	s.serving.Wait()
 	return err
 }
 
-// meteredProxy forwards connections to one address and counts the bytes that come back.
+// meteredProxy forwards connections to one address and counts the bytes that the target sends.
 type meteredProxy struct {
 	target   string
 	listener net.Listener
@@ -307,18 +315,21 @@
 	active   sync.WaitGroup
 }
 
+// startMeteredProxy starts a proxy on a free loopback port.
 func startMeteredProxy(target string) (*meteredProxy, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("discovery: %w", err)
+		return nil, fmt.Errorf("listen for discovery connections: %w", err)
 	}
 	f := &meteredProxy{target: target, listener: l}
 	f.active.Go(f.accept)
 	return f, nil
 }
 
+// addr returns the address that the proxy listens on.
 func (f *meteredProxy) addr() string { return f.listener.Addr().String() }
 
+// accept forwards each new connection until the listener is closed.
 func (f *meteredProxy) accept() {
 	for {
 		c, err := f.listener.Accept()
@@ -338,23 +349,23 @@
 	}
 	defer upstream.Close()
 	f.active.Go(func() {
-		_, _ = io.Copy(upstream, client) // until either closes
+		_, _ = io.Copy(upstream, client) // ends when either side closes
 		upstream.Close()
 	})
-	_, _ = io.Copy(io.MultiWriter(client, (*byteCount)(&f.bytes)), upstream) // until either closes
+	_, _ = io.Copy(io.MultiWriter(client, (*byteCount)(&f.bytes)), upstream) // ends when either side closes
 }
 
-// close waits for the connections to end.
+// close closes the listener and waits for the connections to end.
 func (f *meteredProxy) close() error {
 	err := f.listener.Close()
 	f.active.Wait()
 	return err
 }
 
-// byteCount counts what is written to it.
+// byteCount is a writer that counts the bytes written to it.
 type byteCount atomic.Int64
 
-// Write counts and never fails.
+// Write adds len(p) to the count. It never fails.
 func (c *byteCount) Write(p []byte) (int, error) {
 	(*atomic.Int64)(c).Add(int64(len(p)))
 	return len(p), nil
--- a/internal/lab/experiment/growth/simulation.go
+++ b/internal/lab/experiment/growth/simulation.go
@@ -1,6 +1,6 @@
 package growth
 
-// This file plays the same days with fleets of two sizes on a simulated clock.
+// This file runs the same days with fleets of two sizes on a simulated clock.
 
 import (
 	"context"
@@ -48,24 +48,24 @@
 `
 
 const (
-	utilization = 0.6 // load as a share of the capacity of all servers
-	serverCores = 16  // of a server of the usual size
+	utilization = 0.6 // mean load as a share of the capacity of all servers
+	serverCores = 16  // cores of a server in a fleet of the usual size
 )
 
-// Day is what each sidecar used on a simulated day.
+// Day is the mean usage of a sidecar on one kind of simulated day, at both sizes.
 type Day struct {
 	Name string `json:"name"`
 	Pair
-	Broken []string `json:"broken"` // rules that were broken at the large size
+	Broken []string `json:"broken"` // invariants violated at the large size
 }
 
-// simulatedDayKind is a kind of day, by its faults.
+// simulatedDayKind is a kind of simulated day. Kinds differ in their faults.
 type simulatedDayKind struct {
 	name   string
 	faults func(o *Options) []scenario.Fault
 }
 
-// simulatedDayKinds are the days that are simulated.
+// simulatedDayKinds lists the kinds of simulated days.
 var simulatedDayKinds = []simulatedDayKind{
 	{"fleet, replaced", func(o *Options) []scenario.Fault {
 		if o.ReplacedFraction == 0 {
@@ -80,7 +80,7 @@
 	}},
 }
 
-// simulateDays plays each kind of day with each size.
+// simulateDays runs each kind of day with each size.
 func simulateDays(ctx context.Context, o *Options) ([]Day, error) {
 	var days []Day
 	for i := range simulatedDayKinds {
@@ -98,7 +98,7 @@
 	return days, nil
 }
 
-// simulateDay plays a day with one size. It also returns the rules that were broken.
+// simulateDay runs one day with one size. It returns the mean usage of a sidecar and the violated invariants.
 func simulateDay(ctx context.Context, o *Options, size Size, kind *simulatedDayKind) (Usage,
 	[]string, error) {
 	s, err := dayScenario(o, size)
@@ -125,8 +125,8 @@
 	return usage, broken, nil
 }
 
-// dayScenario returns the scenario of a day with a fleet of this size. The traffic and the capacity of the servers per
-// sidecar are the same at any size: with more servers per sidecar, servers have fewer cores, and their speed makes up for
+// dayScenario returns the scenario of a day with a fleet of the given size. Traffic and server capacity per sidecar are
+// the same at every size. With more servers per sidecar, each server has fewer cores, and the server speed corrects for
 // the rounding to whole cores.
 func dayScenario(o *Options, size Size) (*scenario.Scenario, error) {
 	s, err := scenario.Parse("growth-day.toml", []byte(simulatedScenario))
@@ -137,7 +137,7 @@
 	s.Length = scenario.Duration(o.DayLength)
 	s.Sidecars.Count, s.Servers.Count = size.Sidecars, size.Servers
 	s.Traffic.Rate = o.Rate * float64(size.Sidecars)
-	meanWork := 0.0 // of a request, in seconds
+	meanWork := 0.0 // mean work of a request, in seconds
 	for _, c := range s.Classes {
 		meanWork += c.Fraction * c.Work.Duration().Seconds()
 	}
--- a/internal/lab/experiment/membercold/membercold.go
+++ b/internal/lab/experiment/membercold/membercold.go
@@ -1,8 +1,8 @@
-// Package membercold measures how a fleet of sidecars loads servers that have just started and work slower until they have
-// warmed up. What it varies is the number of sidecars, the changes of the fleet, and how sidecars count each other. Each
-// combination is played with several seeds on a simulated clock (package simulate): some servers are replaced, some
-// restart at once and some join, and the largest load of a server that warms up is kept. The command is `marblelane lab
-// members-cold`.
+// Package membercold measures the load that a fleet of sidecars puts on servers that have just started and work slower
+// until they have warmed up. It varies the number of sidecars, the changes of the fleet, and how sidecars count each
+// other. Each combination runs with several seeds on a simulated clock (package simulate). In each run some servers are
+// replaced, some restart at once and some join, and the largest load of a server that warms up is recorded. The command
+// is `marblelane lab members-cold`.
 package membercold
 
 import (
@@ -22,85 +22,89 @@
 	"marblelane/internal/lab/simulate"
 )
 
-// Experiment says which fleets to measure. Each is played with each change of it, each way to count sidecars and each
-// seed.
+// Experiment configures the measurement. Each fleet runs with each change of the fleet, each way to count sidecars and
+// each seed.
 type Experiment struct {
-	Sidecars     []int
-	Rates        []float64 // requests a second of each sidecar at the start; the rate of the fleet stays as it changes
-	FleetChanges []string  // of FleetChangeNames
+	Sidecars     []int     // numbers of sidecars at the start
+	Rates        []float64 // requests per second of a sidecar at the start; the total rate stays when the fleet changes
+	FleetChanges []string  // names of FleetChangeNames
 	CountModes   []simulate.CountMode
-	Seeds        int
+	Seeds        int // runs of each combination, with the seeds 1 to Seeds
 
-	Utilization      float64       // utilization of the initial servers while all are warm
-	RestartFraction  float64       // share of the servers that restart at once
-	Cores            int           // of a server
-	FallMultiple     float64       // a server that warms up falls when it is sent this multiple of what it can do
-	MeanWork         time.Duration // of a request
+	Utilization      float64       // of the initial servers while all are warm, as a share of their capacity
+	RestartFraction  float64       // share of the initial servers that restart at once
+	Cores            int           // cores of a server
+	FallMultiple     float64       // a server that warms up crashes under a load of this multiple of its capacity
+	MeanWork         time.Duration // mean work of a request
 	LatencyObjective time.Duration
-	Jobs             int       // runs at a time
-	Progress         io.Writer // nil: no progress
+	Jobs             int       // concurrent runs; below 1 means 1
+	Progress         io.Writer // receives progress messages; nil means none
 }
 
-// Row is the result of one fleet, over its seeds.
+// Row is the result of one combination, over all its seeds.
 type Row struct {
 	Sidecars   int                `json:"sidecars"`
 	Rate       float64            `json:"rate"`
-	Servers    int                `json:"servers"` // initial
+	Servers    int                `json:"servers"` // number at the start
 	Change     string             `json:"change"`
 	CountMode  simulate.CountMode `json:"count"`
-	SlowStarts int                `json:"cold_starts"`
-	Overloaded int                `json:"pushed_over"`
-	// Peak is the largest load of a server that warms up, as a share of that under which it falls. PeakMean is the mean
-	// of the seeds' peaks.
+	SlowStarts int                `json:"cold_starts"` // starts of servers, over all runs
+	Overloaded int                `json:"pushed_over"` // starts after which the server crashed while it warmed up
+	// Peak is the largest load of a server that warms up, as a share of the load under which it crashes. PeakMean is the
+	// mean of the peaks of the seeds.
 	Peak     float64 `json:"peak"`
 	PeakMean float64 `json:"peak_mean"`
-	// FullTrafficAfter is the mean time from the start of servers that started together until they got 0.8 of their part
-	// of the traffic. It is negative if they never did, or if the fleet is too small to tell.
+	// FullTrafficAfter is the mean time in seconds from the start of servers that started together until they received
+	// fullTrafficFraction of their share of the traffic. It is negative if they never did, or if the traffic is too low
+	// to determine it.
 	FullTrafficAfter float64 `json:"full_part_s"`
 	InObjective      float64 `json:"in_aim"`
 	WorstInObjective float64 `json:"worst_in_aim"`
-	// AssumedMax and AssumedMean are what all sidecars together assume that servers can take while they warm up, as a
-	// multiple of what they would assume with the number of sidecars in the settings.
+	// AssumedMax and AssumedMean are the largest and the mean total capacity that all sidecars together assume for
+	// servers that warm up. They are multiples of the total that results if each sidecar uses the number of sidecars in
+	// its settings.
 	AssumedMax  float64 `json:"assumed_most"`
 	AssumedMean float64 `json:"assumed_mean"`
 }
 
-// The times of a run in ms since its start. Servers are replaced, restart at once, and join. The fleet of sidecars
-// changes early enough before for all sidecars to know it, except that sidecars start just as servers warm up.
+// The times of a run, in ms since its start unless noted. Servers are replaced, restart at once, and join. The fleet of
+// sidecars changes early enough that all sidecars know the change before servers start. Only the sidecars that start
+// late do so while servers warm up.
 const (
 	replaceAtMS = 12000.0
-	restartAtMS = 14000.0 // ready again about restartTimeMS later
+	restartAtMS = 14000.0 // the servers are ready again about restartTimeMS later
 	joinAtMS    = 28000.0
 	runLength   = 44 * time.Second
 
-	restartTimeMS = 6000.0
+	restartTimeMS = 6000.0 // duration of a restart
 
-	splitAtMS = 8000.0 // early enough for silent processes to be detected before the first server starts
+	splitAtMS = 8000.0 // early enough for unreachable sidecars to be detected before the first server starts
 	healAtMS  = 36000.0
 	stopAtMS  = 9000.0
-	startAtMS = 21800.0 // all sidecars have just learned of the restarted servers
+	startAtMS = 21800.0 // all sidecars have just been notified of the restarted servers
 )
 
-// The fractions of the initial servers that start, and when a group of them has its full part of the traffic.
+// The fractions of the initial servers that are replaced and that join, and the conditions under which a group of
+// servers that started together has its full share of the traffic.
 const (
 	replacedFraction    = 0.1
 	joiningFraction     = 0.2
-	fullTrafficFraction = 0.8
-	trafficWindowMS     = 2000.0
-	trafficStepMS       = 500.0
-	minExpectedSends    = 20 // at a group in a window; with fewer its part cannot be told
+	fullTrafficFraction = 0.8    // of the expected traffic
+	trafficWindowMS     = 2000.0 // length of the window in which traffic is counted
+	trafficStepMS       = 500.0  // time between the starts of two windows
+	minExpectedSends    = 20     // expected requests to a group in a window; with fewer, its share is not reliable
 )
 
-// progressRuns is the number of runs between two reports of the progress.
+// progressRuns is the number of runs between two progress messages.
 const progressRuns = 20
 
-// FleetChangeNames returns the changes of a fleet that can be measured.
+// FleetChangeNames returns the names of the changes of a fleet that can be measured.
 func FleetChangeNames() []string {
 	return []string{"steady", "half-die", "double", "die-return", "split-half", "split-one", "split-ten", "split-alone",
 		"split-third"}
 }
 
-// indexRange returns the numbers from first up to but not including end.
+// indexRange returns the integers from first up to but not including end.
 func indexRange(first, end int) []int {
 	var out []int
 	for i := first; i < end; i++ {
@@ -109,7 +113,8 @@
 	return out
 }
 
-// splitFleet partitions n sidecars at splitAtMS, each into the part that partOf returns, and heals them at healAtMS.
+// splitFleet returns changes that partition n sidecars at splitAtMS, each into the part that partOf returns, and heal
+// the partition at healAtMS.
 func splitFleet(n int, partOf func(sidecar int) int) []simulate.FleetChange {
 	parts := make([]int, n)
 	for i := range parts {
@@ -118,7 +123,8 @@
 	return []simulate.FleetChange{{At: splitAtMS, Sides: parts}, {At: healAtMS, Sides: make([]int, n)}}
 }
 
-// fleetChange returns the steps of a named change with n sidecars at the start, and how many sidecars exist at some time.
+// fleetChange returns the steps of a named change with n sidecars at the start, and the total number of sidecars that
+// exist at any time of the run.
 func fleetChange(name string, n int) (total int, changes []simulate.FleetChange, err error) {
 	switch name {
 	case "steady":
@@ -138,17 +144,17 @@
 		return n, splitFleet(n, func(i int) int { return i % 10 }), nil
 	case "split-alone":
 		return n, splitFleet(n, func(i int) int { return i }), nil
-	case "split-third": // half and half, and a third of the sidecars restarts meanwhile
+	case "split-third": // two halves, and a third of the sidecars restarts during the partition
 		third := indexRange(0, n/3)
 		changes := splitFleet(n, func(i int) int { return i % 2 })
 		stop := simulate.FleetChange{At: startAtMS - restartTimeMS, Stop: third}
 		return n, append(changes, stop, simulate.FleetChange{At: startAtMS, Start: third}), nil
 	}
-	return 0, nil, fmt.Errorf("no change of a fleet is named %q: there are %v", name, FleetChangeNames())
+	return 0, nil, fmt.Errorf("unknown change of the fleet %q: want one of %v", name, FleetChangeNames())
 }
 
-// scenarioTemplate takes the length, the fall multiple, the cores, the work, the objective, the deadline and the time in
-// ms at which servers are replaced.
+// scenarioTemplate is the format of the scenario. Its arguments are the length, the fall multiple, the cores, the work,
+// the objective, the deadline and the time in ms at which servers are replaced.
 const scenarioTemplate = `title = "Cold servers before a fleet that changes"
 length = %q
 warm_up = "5s"
@@ -182,8 +188,8 @@
 servers = "1"
 `
 
-// plan draws one run with this number of sidecars, of all that exist at some time. It also returns the number of servers
-// that exist from the start.
+// plan returns the plan of a run and the number of servers that exist from the start. sidecars is the number of
+// sidecars at the start, and total the number that exist at any time.
 func (c *Experiment) plan(sidecars int, rate float64, total int, seed uint64) (*scenario.Plan, int, error) {
 	text := fmt.Sprintf(scenarioTemplate, runLength, c.FallMultiple, c.Cores, c.MeanWork, c.LatencyObjective,
 		5*c.LatencyObjective, replaceAtMS)
@@ -200,14 +206,15 @@
 	s.Traffic.Rate = rate * float64(sidecars)
 	s.Faults[0].Servers = fmt.Sprint(countOf(replacedFraction))
 	p := s.Plan(seed)
-	for i := range p.Arrivals { // sidecars that start later have no arrivals of their own
+	for i := range p.Arrivals { // requests arrive only at sidecars that exist from the start
 		p.Arrivals[i].Sidecar %= sidecars
 	}
 	addServerFaults(p, joining, restarting, seed)
 	return p, initial, nil
 }
 
-// addServerFaults has some servers that are not replaced join late, and others restart at once.
+// addServerFaults adds faults by which some servers join late and others restart at once. It chooses among the servers
+// that are not replaced.
 func addServerFaults(p *scenario.Plan, joining, restarting int, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x636f6c64))
 	replaced := func(i int) bool { return slices.Contains(p.Faults[0].Servers, i) }
@@ -220,17 +227,17 @@
 			Servers: others[joining : joining+restarting]})
 }
 
-// runResult is the result of one runResult.
+// runResult is the result of one run with one seed.
 type runResult struct {
 	row, seed        int
 	initialServers   int
 	members          *simulate.MembersResult
 	figures          measure.Figures
-	fullTrafficAfter []float64
+	fullTrafficAfter []float64 // in ms, of each group of servers that started together
 	err              error
 }
 
-// Run measures all fleets, several runs at a time.
+// Run measures all combinations, Jobs runs at a time.
 func (c *Experiment) Run(ctx context.Context) ([]Row, error) {
 	rows := c.rows()
 	if err := c.validate(rows); err != nil {
@@ -249,7 +256,7 @@
 		}
 		runs[r.row] = append(runs[r.row], r)
 		if finished++; c.Progress != nil && finished%progressRuns == 0 {
-			fmt.Fprintf(c.Progress, "%d of %d runs played\n", finished, len(rows)*c.Seeds)
+			fmt.Fprintf(c.Progress, "%d of %d runs done\n", finished, len(rows)*c.Seeds)
 		}
 	}
 	if err := cmp.Or(firstErr, ctx.Err()); err != nil {
@@ -262,7 +269,7 @@
 	return rows, nil
 }
 
-// rows lists the fleets, without results.
+// rows returns a row without results for each combination.
 func (c *Experiment) rows() []Row {
 	var rows []Row
 	for _, n := range c.Sidecars {
@@ -277,16 +284,17 @@
 	return rows
 }
 
+// validate returns an error if there are no combinations or a figure is out of range.
 func (c *Experiment) validate(rows []Row) error {
 	if len(rows) == 0 || c.Seeds < 1 || c.Utilization <= 0 || c.Cores < 1 || c.FallMultiple <= 0 || c.MeanWork <= 0 ||
 		c.LatencyObjective <= 0 || c.RestartFraction <= 0 || c.RestartFraction > 1 {
-		return errors.New("members-cold: no fleets, or a figure that is not above 0, or a share at once above 1")
+		return errors.New("members-cold: no fleets, a figure that is not above 0, or a share of restarted servers above 1")
 	}
 	return nil
 }
 
-// runAll plays each row with each seed, Jobs runs at a time. The channel is closed when all runs are done, or those
-// under way when ctx ended.
+// runAll runs each row with each seed, Jobs runs at a time. The channel is closed when all runs are done. When ctx
+// ends, it is closed as soon as the started runs are done.
 func (c *Experiment) runAll(ctx context.Context, rows []Row) <-chan runResult {
 	type job struct{ row, seed int }
 	jobs, done := make(chan job), make(chan runResult)
@@ -315,7 +323,7 @@
 	return done
 }
 
-// runOne plays one run; it does not change the row.
+// runOne runs a row with one seed. It does not change the row.
 func (c *Experiment) runOne(ctx context.Context, row *Row, seed uint64) runResult {
 	total, changes, err := fleetChange(row.Change, row.Sidecars)
 	if err != nil {
@@ -336,8 +344,9 @@
 		fullTrafficAfter: fullTrafficTimes(result)}
 }
 
-// fullTrafficTimes returns, for each group of servers that started together, the ms until it got its part of all sends,
-// in ascending order. Groups for which that cannot be told are left out.
+// fullTrafficTimes returns, for each group of servers that started together, the time in ms until it received its share
+// of all requests. The times are in ascending order. Groups that never received it, or that expect too few requests to
+// determine it, are left out.
 func fullTrafficTimes(run *simulate.Result) []float64 {
 	groups := map[float64]map[int]bool{}
 	for _, s := range run.Members.Starts {
@@ -359,7 +368,8 @@
 	return times
 }
 
-// hasFullTraffic tells whether a group of servers gets its part of the sends in the window that begins at from.
+// hasFullTraffic reports whether a group of servers receives its share of the requests in the window that starts at
+// from.
 func hasFullTraffic(sends []simulate.Send, group map[int]bool, from float64) bool {
 	first, _ := slices.BinarySearchFunc(sends, from, func(s simulate.Send, t float64) int { return cmp.Compare(s.At, t) })
 	toGroup, all, servers := 0, 0, map[int]bool{}
@@ -377,7 +387,7 @@
 	return expected >= minExpectedSends && float64(toGroup) >= fullTrafficFraction*expected
 }
 
-// aggregate works out a row from its runs.
+// aggregate computes the results of a row from its runs.
 func (r *Row) aggregate(runs []runResult) {
 	var times []float64
 	for _, run := range runs {
--- a/internal/lab/experiment/membercold/membercold_test.go
+++ b/internal/lab/experiment/membercold/membercold_test.go
@@ -12,7 +12,8 @@
 	"marblelane/internal/lab/simulate"
 )
 
-// All servers restart at once before many small sidecars. Without a bound servers fall while they warm up; a budget lowers their load.
+// All servers restart at once, and each of many sidecars sends them little traffic. Without a bound, servers crash
+// while they warm up. A budget lowers their load.
 func TestExperiment_serversFallWithoutBudget(t *testing.T) {
 	m := membercold.Experiment{Sidecars: []int{1000}, Rates: []float64{0.2}, FleetChanges: []string{"split-alone"},
 		Seeds: 2, Utilization: 0.45, RestartFraction: 1, Cores: 4, FallMultiple: 4, MeanWork: 100 * time.Millisecond, LatencyObjective: 600 * time.Millisecond, Jobs: 2,
--- a/internal/lab/experiment/memberscale/fleet.go
+++ b/internal/lab/experiment/memberscale/fleet.go
@@ -1,6 +1,6 @@
 package memberscale
 
-// This file is a fleet of members in one process, whose size and faults are measured.
+// This file runs a fleet of members in this process, injects faults and measures the reaction.
 
 import (
 	"cmp"
@@ -22,27 +22,27 @@
 	"marblelane/internal/membership/roster"
 )
 
-// member is one member with the views that its group reported.
+// member is one member of a fleet and what its group reported.
 type member struct {
 	group *membership.Group
 	port  *gossip.Port
 
 	mu                sync.Mutex
-	view              roster.View
-	trace             []timedView // while it is traced
+	view              roster.View // the last that was reported
+	trace             []timedView // the views reported since traced was set
 	traced            bool
-	unreachableEvents int // members that became unreachable, so far
-	removedEvents     int // members that were no longer known, so far
-	maxUnreachable    int // known members that were not reachable at one time
+	unreachableEvents int // how often another member became unreachable
+	removedEvents     int // how often another member was removed
+	maxUnreachable    int // largest number of known but unreachable members at one time
 }
 
-// timedView is a view and when it was reported.
+// timedView is a view and the time at which it was reported.
 type timedView struct {
 	at   time.Time
 	view roster.View
 }
 
-// recordView counts what a new view changes.
+// recordView stores a view that the group reported and counts the members that it lost.
 func (s *member) recordView(v roster.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +65,7 @@
 	return s.view
 }
 
-// firstSeen returns when a traced view matched first; zero: none did.
+// firstSeen returns the time of the first traced view at or after from that matches, or zero if there is none.
 func (s *member) firstSeen(from time.Time, matches func(roster.View) bool) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,18 +77,19 @@
 	return time.Time{}
 }
 
-// fleet is one fleet on a network of its own.
+// fleet is a set of members on their own simulated network.
 type fleet struct {
 	experiment *Experiment
 	network    *gossip.Network
 	members    []*member
-	joinTime   time.Duration
+	joinTime   time.Duration // from the start of the first member until all agreed and were admitted
 }
 
-// startsPerInterval is how many members start between two probes of one, as when a platform starts a fleet.
+// startsPerInterval is the number of members that start per probe interval. The start is spread as it is when a
+// platform starts a fleet.
 const startsPerInterval = 200
 
-// openFleet starts a fleet and waits until all agree and are admitted.
+// openFleet starts a fleet of n members and waits until all members agree and are admitted.
 func (m *Experiment) openFleet(ctx context.Context, n int, rules gossip.Rules) (*fleet, error) {
 	f := &fleet{experiment: m, network: gossip.New(m.Seed, rules)}
 	start := time.Now()
@@ -121,11 +122,11 @@
 	return f, nil
 }
 
-// close ends all members. It cuts the network first, so that members do not gossip about those that end.
+// close ends all members. It cuts the network first, so that members don't gossip about the members that end.
 func (f *fleet) close() error {
 	f.network.Set(gossip.Rules{Cut: true})
 	for _, s := range f.members {
-		_ = s.port.Shutdown() // gives nil only
+		_ = s.port.Shutdown() // always returns nil
 	}
 	ended := make(chan error, 1)
 	go func() {
@@ -135,11 +136,12 @@
 	case err := <-ended:
 		return err
 	case <-time.After(closeTimeout):
-		return fmt.Errorf("%d members have not ended after %v", len(f.members), closeTimeout)
+		return fmt.Errorf("close %d members: not done after %v", len(f.members), closeTimeout)
 	}
 }
 
-// await polls until a condition holds for all members, for EventTimeout at most.
+// await polls until a condition holds for all members. It fails after EventTimeout plus a tenth of Interval for each
+// member. failure describes a member for which the condition doesn't hold.
 func (f *fleet) await(ctx context.Context, failure string, holds func(*member) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, f.experiment.EventTimeout+f.experiment.Interval*time.Duration(len(f.members))/10)
 	defer cancel()
@@ -154,7 +156,8 @@
 	}
 }
 
-// awaitAgreement waits until the views of all members have the number of those that run, and then compares names.
+// awaitAgreement waits until all members know and reach as many members as run, and if admitted is set, until all are
+// admitted. It then compares the members' reports by name and start.
 func (f *fleet) awaitAgreement(ctx context.Context, admitted bool) error {
 	n := len(f.members)
 	err := f.await(ctx, "does not agree", func(s *member) bool {
@@ -173,7 +176,8 @@
 	return checkAgreement(reports, ids)
 }
 
-// checkAgreement returns an error for the first report that does not have exactly the running members as alive.
+// checkAgreement returns an error for the first report that has an unreachable member, or whose members are not exactly
+// the running ones.
 func checkAgreement(reports []membership.Report, running []roster.ID) error {
 	running = slices.Clone(running)
 	byID := func(a, b roster.ID) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start)) }
@@ -185,26 +189,27 @@
 			case membership.Alive, membership.Suspected:
 				alive = append(alive, roster.ID{Name: m.Name, Start: m.Start})
 			case membership.Unreachable:
-				return fmt.Errorf("%s does not hear %s@%d", r.Self.Name, m.Name, m.Start)
+				return fmt.Errorf("member %s cannot reach %s@%d", r.Self.Name, m.Name, m.Start)
 			}
 		}
 		slices.SortFunc(alive, byID)
 		if !slices.Equal(alive, running) {
-			return fmt.Errorf("%s sees %d alive that are not the %d that run", r.Self.Name, len(alive), len(running))
+			return fmt.Errorf("member %s lists %d live members, which are not the %d running ones", r.Self.Name, len(alive), len(running))
 		}
 	}
 	return nil
 }
 
-// suspicionTime is the shortest time from a suspicion until a member is silent, as the gossip library scales it.
+// suspicionTime returns the shortest time from the suspicion of a member until the member counts as unreachable. The
+// gossip library scales it by the size of the fleet.
 func (f *fleet) suspicionTime() time.Duration {
 	return time.Duration(4 * max(1, math.Log10(float64(len(f.members)))) * float64(f.experiment.Interval))
 }
 
-// awaitQuiet waits until members send little but their probes, for EventTimeout at most. Members gossip about a joining
-// for a while, the longer the larger the fleet.
+// awaitQuiet waits until members send little besides their probes, and returns false if they don't within EventTimeout.
+// Members gossip about a join for a time that increases with the size of the fleet.
 func (f *fleet) awaitQuiet(ctx context.Context) bool {
-	maxPackets := uint64(3 * len(f.members)) // in one interval: a probe, its answer, and some more
+	maxPackets := uint64(3 * len(f.members)) // per interval: a probe, its acknowledgement and one more per member
 	for end := time.Now().Add(f.experiment.EventTimeout); ctx.Err() == nil && time.Now().Before(end); {
 		_, before := f.sentTotals()
 		if !harness.Sleep(ctx, f.experiment.Interval) {
@@ -217,14 +222,14 @@
 	return false
 }
 
-// baselineUsage is what this process used before a fleet was opened.
+// baselineUsage is the resource use of this process before a fleet was opened.
 type baselineUsage struct {
-	memory int64
-	cpu    float64 // of one processor
+	memory int64   // bytes of heap and stacks
+	cpu    float64 // processors in use, as a mean
 }
 
-// measureIdle measures what a quiet fleet costs beyond the baseline, and which members it holds for dead. It sets the
-// baseline for the next fleet.
+// measureIdle measures the cost of a quiet fleet beyond the baseline, and counts false detections without loss. It sets
+// baseline to the present usage, for the next fleet.
 func (f *fleet) measureIdle(ctx context.Context, baseline *baselineUsage) (*IdleCost, LossResult, error) {
 	m, n := f.experiment, len(f.members)
 	cost := &IdleCost{JoinSeconds: f.joinTime.Seconds()}
@@ -236,7 +241,7 @@
 	cost.Quiet = f.awaitQuiet(ctx)
 	memory := memoryInUse()
 	cost.Memory = float64(memory-baseline.memory) / 1024 / float64(n)
-	// Full state exchanges are rare, so small fleets are measured for longer.
+	// Push-pull exchanges are rare, so small fleets are measured for longer.
 	window := min(max(m.IdleWindow, 60*m.Interval/time.Duration(n)), 3*m.IdleWindow)
 	sentBytes, sentPackets := f.sentTotals()
 	cpu, start := cpuTime(), time.Now()
@@ -252,6 +257,7 @@
 	return cost, noLoss, err
 }
 
+// sentTotals returns the bytes and packets that all members have sent so far.
 func (f *fleet) sentTotals() (bytes, packets uint64) {
 	for _, s := range f.members {
 		c := s.port.Counts()
@@ -261,6 +267,7 @@
 	return bytes, packets
 }
 
+// memoryInUse returns the bytes of heap and stacks of this process, after a garbage collection.
 func memoryInUse() int64 {
 	runtime.GC()
 	var s runtime.MemStats
@@ -268,16 +275,17 @@
 	return int64(s.HeapAlloc + s.StackInuse)
 }
 
-// cpuTime is the processor time that this process has used so far.
+// cpuTime returns the CPU time that this process has used so far.
 func cpuTime() time.Duration {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
-		return 0 // it cannot fail for the own process
+		return 0 // Getrusage doesn't fail for the calling process
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// countEvents counts for some time how often members are held for dead.
+// countEvents counts for the window how often running members are detected as unreachable or removed. It returns l with
+// the counts.
 func (f *fleet) countEvents(ctx context.Context, l LossResult, window time.Duration) (LossResult, error) {
 	totals := func() (unreachable, removed, maxUnreachable int) {
 		for _, s := range f.members {
@@ -300,7 +308,7 @@
 	return l, context.Cause(ctx)
 }
 
-// timeToAgree returns the seconds until all members agree; -1: they do not.
+// timeToAgree returns the seconds until all members agree, or -1 if they don't in time.
 func (f *fleet) timeToAgree(ctx context.Context) float64 {
 	start := time.Now()
 	if f.awaitAgreement(ctx, false) != nil {
@@ -309,10 +317,10 @@
 	return time.Since(start).Seconds()
 }
 
-// lossWindow is long enough for suspected members to be held for dead.
+// lossWindow returns a time that is long enough for suspected members to be declared unreachable.
 func (f *fleet) lossWindow() time.Duration { return f.experiment.LossWindow + f.suspicionTime()*3/2 }
 
-// measureLoss counts false detections at one share of lost packets.
+// measureLoss counts false detections while the given share of packets is lost.
 func (f *fleet) measureLoss(ctx context.Context, loss float64) (LossResult, error) {
 	f.network.Set(gossip.Rules{Loss: loss, Delay: networkDelay})
 	l, err := f.countEvents(ctx, LossResult{Loss: loss}, f.lossWindow())
@@ -324,8 +332,9 @@
 	return l, context.Cause(ctx)
 }
 
-// measureSplit partitions a fleet into the first members and the rest until the larger part has noticed, and heals it. A
-// small part notices last: in the gossip library a member that reaches no other probes more and more rarely.
+// measureSplit partitions a fleet into its first members and the rest, waits until each part of half the fleet or more
+// has noticed, and heals the network. It doesn't wait for a smaller part, which notices last: in the gossip library, a
+// member that reaches no other members sends probes at ever longer intervals.
 func (f *fleet) measureSplit(ctx context.Context, name string, first int) (*SplitResult, error) {
 	n := len(f.members)
 	result := &SplitResult{Parts: name, NoticeSeconds: -1, AgreeSeconds: -1}
@@ -337,7 +346,7 @@
 	}
 	f.network.Split(part)
 	start := time.Now()
-	err := f.await(ctx, "hears the other side", func(s *member) bool {
+	err := f.await(ctx, "still reaches the other part", func(s *member) bool {
 		return 2*partSize[s] < n || s.currentView().Reachable == partSize[s]
 	})
 	if err == nil {
@@ -354,7 +363,8 @@
 	return result, context.Cause(ctx)
 }
 
-// measureCrash ends some members at once, without a message; their hosts stay.
+// measureCrash ends some members at once, without a leave message, and measures how long the others take to detect it.
+// The hosts of the ended members keep running.
 func (f *fleet) measureCrash(ctx context.Context) (*CrashResult, error) {
 	n := len(f.members)
 	crashed := min(max(1, n/20), 10)
@@ -369,8 +379,8 @@
 	if err := harness.Parallel(crashed, crashed, func(i int) error { return crashedMembers[i].group.Close() }); err != nil {
 		return nil, err
 	}
-	// Events that did not come in time show as -1 in the result.
-	_ = f.await(ctx, "has not counted out who ended", func(s *member) bool { return s.currentView().Known == n-crashed })
+	// The error is ignored: the result has -1 for events that did not come in time.
+	_ = f.await(ctx, "has not removed the crashed members", func(s *member) bool { return s.currentView().Known == n-crashed })
 	result := &CrashResult{Crashed: crashed}
 	detected := f.crashTimes(start, n, crashed, func(v roster.View) int { return v.Reachable })
 	result.DetectP50, result.DetectP99, result.DetectAll = quantileSeconds(detected, 0.5), quantileSeconds(detected, 0.99), quantileSeconds(detected, 1)
@@ -379,8 +389,9 @@
 	return result, context.Cause(ctx)
 }
 
-// crashTimes returns, for each member that is left and each one that crashed, the seconds until a count of the view no
-// longer had the crashed one, in ascending order. It is infinite where the count kept it.
+// crashTimes returns, for each pair of a remaining and a crashed member, the seconds until a count of the remaining
+// member's view no longer included the crashed one. The times are in ascending order. A time is infinite if the count
+// kept the crashed member.
 func (f *fleet) crashTimes(start time.Time, n, crashed int, count func(roster.View) int) []float64 {
 	var times []float64
 	for _, s := range f.members {
@@ -397,7 +408,7 @@
 	return times
 }
 
-// quantileSeconds returns a quantile of sorted times, rounded up to the next of them; -1 where it is infinite.
+// quantileSeconds returns a quantile of sorted times, rounded up to the next element, or -1 if it is infinite.
 func quantileSeconds(sorted []float64, q float64) float64 {
 	seconds := harness.UpperQuantile(sorted, q)
 	if math.IsInf(seconds, 1) {
--- a/internal/lab/experiment/memberscale/memberscale.go
+++ b/internal/lab/experiment/memberscale/memberscale.go
@@ -1,7 +1,7 @@
-// Package memberscale measures what the membership of sidecars costs, and how fast and how reliably it detects faults, with
-// fleets of several sizes. Real groups run in this process on a simulated network: idle, with crashed members, with lost
-// packets, partitioned, and with too little processor time. It also measures idle sidecar processes with membership and
-// without. The command is `marblelane lab members-scale`.
+// Package memberscale measures the cost of the membership of sidecars, and how fast and how reliably it detects faults,
+// with fleets of several sizes. Real groups run in this process on a simulated network: idle, with crashed members,
+// with lost packets, partitioned, and with too little CPU time. The package also measures idle sidecar processes with
+// and without membership. The command is `marblelane lab members-scale`.
 package memberscale
 
 import (
@@ -20,97 +20,100 @@
 	"marblelane/internal/lab/harness"
 )
 
-// Experiment says which fleets of members to measure. The groups are those of package membership. They run in this
-// process, on the real clock and a simulated network (package gossip).
+// Experiment configures the measurement. The members are groups of package membership. They run in this process, on the
+// real clock and a simulated network (package gossip).
 type Experiment struct {
-	Sizes             []int
-	Losses            []float64     // shares of packets lost; none are lost while a fleet is idle
-	Interval          time.Duration // between a member's probes
-	IdleWindow        time.Duration // how long an idle fleet is measured, at least
-	LossWindow        time.Duration // how long false detections are counted, beyond the time that a suspicion takes
-	EventTimeout      time.Duration // for one event, plus a tenth of Interval for each member
-	TotalTimeout      time.Duration // of all measurements; those not done by then are named in Unmeasured
-	MaxConcurrentSize int           // larger fleets come last, one at a time, as far as TotalTimeout allows
-	BusyLoops         int           // goroutines that compete with starved fleets for one processor
-	Seed              uint64
-	Defect            string    // planted in all members; empty: none
-	Progress          io.Writer // nil: no progress
+	Sizes             []int         // numbers of members, in ascending order
+	Losses            []float64     // shares of lost packets to measure; none are lost while a fleet is idle
+	Interval          time.Duration // time between two probes of a member
+	IdleWindow        time.Duration // shortest time for which an idle fleet is measured
+	LossWindow        time.Duration // time for which false detections are counted, beyond the time that a suspicion takes
+	EventTimeout      time.Duration // longest wait for an event, plus a tenth of Interval for each member
+	TotalTimeout      time.Duration // limit for all measurements; those not done by then are listed in Unmeasured
+	MaxConcurrentSize int           // larger fleets are measured last, one at a time, as far as TotalTimeout allows
+	BusyLoops         int           // goroutines that compete with the fleets for one processor while these are starved
+	Seed              uint64        // seed of the simulated network
+	Defect            string        // planted defect of all members; empty means none
+	Progress          io.Writer     // receives progress messages; nil means none
 }
 
-// Result is what was measured.
+// Result holds the measurements of all fleet sizes.
 type Result struct {
 	Sizes []SizeResult `json:"sizes"`
-	// The cost of one member grows as the fleet's size to the power of these, from the smallest to the largest fleet.
+	// The cost of one member grows as the size of the fleet to the power of these exponents, from the smallest to the
+	// largest fleet.
 	BytesExponent float64 `json:"bytes_grow"`
 	CPUExponent   float64 `json:"cpu_grow"`
-	// LagP99MS is the lag of a timer of this process while fleets ran side by side. Late tells that it was above
-	// maxLagP99MS: the machine was too busy for what was measured then to count.
+	// LagP99MS is the lag of a timer of this process while fleets ran concurrently. TooBusy means that the lag was above
+	// maxLagP99MS: the machine was too busy, so measurements from that time are not valid.
 	LagP99MS       float64         `json:"lag_p99_ms"`
 	TooBusy        bool            `json:"late"`
-	Unmeasured     []string        `json:"unmeasured"` // what, and why
+	Unmeasured     []string        `json:"unmeasured"` // measurements that failed or were not done, each with the reason
 	Processes      []ProcessResult `json:"processes,omitempty"`
 	ElapsedSeconds float64         `json:"took_s"`
 }
 
-// SizeResult is what one size of fleet showed. Times are in seconds; -1: the event did not come within EventTimeout.
+// SizeResult holds the measurements of one fleet size. Times are in seconds, and -1 means that the event did not come
+// within EventTimeout. A measurement that was not done is nil or absent.
 type SizeResult struct {
 	Members int           `json:"members"`
-	Idle    *IdleCost     `json:"idle"` // nil: not measured, as for the others
+	Idle    *IdleCost     `json:"idle"`
 	Crash   *CrashResult  `json:"crash"`
 	Losses  []LossResult  `json:"losses"`
 	Splits  []SplitResult `json:"splits"`
 }
 
-// IdleCost is what a fleet costs when nothing happens.
+// IdleCost is the cost of a fleet without faults.
 type IdleCost struct {
 	JoinSeconds      float64 `json:"joined_s"`             // from the first start until all agree and are admitted
-	ForcedAdmissions int     `json:"forced"`               // admitted only because admit_within was over
-	Bytes            float64 `json:"bytes_per_member_s"`   // sent, of packets and streams
-	Packets          float64 `json:"packets_per_member_s"` // sent
-	CPU              float64 `json:"cpu_us_per_member_s"`  // the simulated network's included, the kernel's not
+	ForcedAdmissions int     `json:"forced"`               // members admitted only because admit_within had passed
+	Bytes            float64 `json:"bytes_per_member_s"`   // bytes sent in packets and streams
+	Packets          float64 `json:"packets_per_member_s"` // packets sent
+	CPU              float64 `json:"cpu_us_per_member_s"`  // includes the simulated network, not the kernel's
 	Memory           float64 `json:"kb_per_member"`        // heap and stacks
-	Quiet            bool    `json:"quiet"`                // false: members still gossiped about the joining
-	MemberMinutes    float64 `json:"member_minutes"`       // over which the costs were measured
+	Quiet            bool    `json:"quiet"`                // false: members still gossiped about the join
+	MemberMinutes    float64 `json:"member_minutes"`       // member-minutes over which the costs were measured
 }
 
-// CrashResult is how long the members that are left take to detect that some members crashed at once. Quantiles are
-// over all pairs of a crashed member and one that is left.
+// CrashResult is the time that the remaining members take to detect that some members crashed at once. Quantiles are
+// over all pairs of a crashed and a remaining member. Detected means that the failure detector has declared the crashed
+// member unreachable. Removed means that it no longer counts as a member.
 type CrashResult struct {
 	Crashed    int     `json:"crashed"`
-	DetectP50  float64 `json:"detect_p50_s"` // silent: the failure detector holds it for dead
+	DetectP50  float64 `json:"detect_p50_s"`
 	DetectP99  float64 `json:"detect_p99_s"`
-	DetectAll  float64 `json:"detect_all_s"` // everywhere
-	RemovedP50 float64 `json:"gone_p50_s"`   // gone: it no longer counts as a member
+	DetectAll  float64 `json:"detect_all_s"` // maximum
+	RemovedP50 float64 `json:"gone_p50_s"`
 	RemovedP99 float64 `json:"gone_p99_s"`
 	RemovedAll float64 `json:"gone_all_s"`
 }
 
-// LossResult is how often running members are held for dead while packets are lost or processor time is short. An event
-// counts once for each member that sees it.
+// LossResult counts how often running members are detected as unreachable or removed while packets are lost or CPU time
+// is short. An event counts once for each member that reports it.
 type LossResult struct {
-	Loss               float64 `json:"loss"`
-	Starved            bool    `json:"starved"`
+	Loss               float64 `json:"loss"`    // share of packets lost, 0 to 1
+	Starved            bool    `json:"starved"` // CPU time was short
 	MemberHours        float64 `json:"member_hours"`
-	UnreachablePerHour float64 `json:"deaths_per_member_hour"` // held for dead, the mean over all pairs of members
-	RemovedPerHour     float64 `json:"gone_per_member_hour"`   // and no longer counted as a member
+	UnreachablePerHour float64 `json:"deaths_per_member_hour"` // declared unreachable, mean over all pairs of members
+	RemovedPerHour     float64 `json:"gone_per_member_hour"`   // removed, mean over all pairs of members
 	UnreachableEvents  int     `json:"deaths_seen"`
 	RemovedEvents      int     `json:"gone_seen"`
-	MaxUnreachable     int     `json:"most_unheard"` // members that one member held for dead at one time
+	MaxUnreachable     int     `json:"most_unheard"` // most unreachable members in one view
 	AgreeSeconds       float64 `json:"agree_s"`      // from the end of the fault until all agree
 }
 
-// SplitResult is how a fleet that was partitioned comes together again.
+// SplitResult is the reaction of a fleet to a partition and to its healing.
 type SplitResult struct {
 	Parts          string  `json:"parts"`
-	NoticeSeconds  float64 `json:"noticed_s"`   // until each part of half the fleet or more holds all others for dead
-	StillReachable int     `json:"still_hears"` // members that one of the smallest part reached when the split was healed, at most
+	NoticeSeconds  float64 `json:"noticed_s"`   // until each part of at least half the fleet reaches no others
+	StillReachable int     `json:"still_hears"` // most that a member of the smallest part reached at the healing
 	AgreeSeconds   float64 `json:"agree_s"`     // from the healing until all agree
-	MaxRemoved     int     `json:"counted_out"` // members that one member no longer counted, at most
+	MaxRemoved     int     `json:"counted_out"` // largest number of members that one member had removed
 }
 
-// Default returns the full measurement, or a quick one that only shows that the procedure works. The full
-// one takes some three minutes on six processors. It has no fleet of 1,000 members, which needs some 9 GB and more than
-// 700 s of processor time to come together.
+// Default returns the full experiment, or a quick one that only shows that the procedure works. The full experiment
+// takes about three minutes on six processors. It has no fleet of 1,000 members, which needs about 9 GB and more than
+// 700 s of CPU time until all members agree.
 func Default(quick bool) Experiment {
 	if quick {
 		return Experiment{Sizes: []int{3, 6}, Losses: []float64{0.3}, Interval: 40 * time.Millisecond,
@@ -122,16 +125,17 @@
 		BusyLoops: 4, Seed: 1}
 }
 
-// closeTimeout bounds the wait for the members of a fleet to end.
+// closeTimeout is the longest wait for the members of a fleet to end.
 const closeTimeout = 20 * time.Second
 
-// networkDelay is that of a packet between two members.
+// networkDelay is the delay of a packet between two members.
 const networkDelay = time.Millisecond
 
-// maxLagP99MS is the lag of a timer above which the machine is too busy.
+// maxLagP99MS is the timer lag in ms above which the machine is too busy for valid measurements.
 const maxLagP99MS = 50
 
-// limitProcessor leaves this process one processor, which goroutines compete for, until restore is called.
+// limitProcessor limits this process to one processor and starts BusyLoops goroutines that compete for it, until
+// restore is called.
 func (m *Experiment) limitProcessor() (restore func()) {
 	before := runtime.GOMAXPROCS(1)
 	var stop atomic.Bool
@@ -150,7 +154,7 @@
 	}
 }
 
-// measurement is one measurement under way.
+// measurement is a run of an experiment.
 type measurement struct {
 	*Experiment
 	ctx   context.Context
@@ -160,11 +164,11 @@
 	result *Result
 }
 
-// Run measures. Of each size one fleet is measured idle while no other does anything, and then loses packets. Beside it
-// a second fleet of that size loses members and is split. At the end the fleets that lost packets share too little
-// processor time. Fleets that are larger than MaxConcurrentSize follow, one at a time.
+// Run measures all sizes. One fleet of each size is measured idle while no other fleet is under test. Then these fleets
+// lose packets, while a second fleet of each size loses members and is partitioned. Then the first fleets share too
+// little CPU time. Fleets larger than MaxConcurrentSize follow, one at a time. Run returns an error only if ctx ends.
 func (m *Experiment) Run(ctx context.Context) (*Result, error) {
-	limited, cancel := context.WithTimeoutCause(ctx, m.TotalTimeout, errors.New("the time is over"))
+	limited, cancel := context.WithTimeoutCause(ctx, m.TotalTimeout, errors.New("time limit of the experiment exceeded"))
 	defer cancel()
 	r := &measurement{Experiment: m, ctx: limited, start: time.Now(),
 		result: &Result{Sizes: make([]SizeResult, len(m.Sizes))}}
@@ -190,10 +194,11 @@
 	}
 	m.summarize(r.result, lag)
 	r.result.ElapsedSeconds = time.Since(r.start).Seconds()
-	return r.result, context.Cause(ctx) // a measurement cut short by TotalTimeout is no error; Unmeasured names it
+	return r.result, context.Cause(ctx) // TotalTimeout is not an error: Unmeasured lists what was not done
 }
 
-// openIdle opens a fleet of each size in turn and measures it idle. A fleet that could not be opened is nil.
+// openIdle opens a fleet of each size in turn and measures it while idle. The result is nil for a fleet that could not
+// be opened.
 func (r *measurement) openIdle(sizes []*SizeResult) []*fleet {
 	fleets := make([]*fleet, len(sizes))
 	baseline := baselineUsage{memory: memoryInUse()}
@@ -209,8 +214,8 @@
 	return fleets
 }
 
-// measureFaults has the fleets lose packets, and beside each another of its size that loses members and is split. It
-// returns by how much a timer of this process was late meanwhile.
+// measureFaults makes the fleets lose packets. At the same time, it crashes members of a second fleet of each size and
+// partitions it. It returns the lags of a timer of this process during that time.
 func (r *measurement) measureFaults(sizes []*SizeResult, fleets []*fleet) []time.Duration {
 	ctx, stop := context.WithCancel(r.ctx)
 	var lag []time.Duration
@@ -230,7 +235,8 @@
 	return lag
 }
 
-// recordOutcome reports a step, keeps it as unmeasured if it failed, and returns whether it succeeded.
+// recordOutcome writes the outcome of a step to Progress, adds a failed step to Unmeasured, and returns whether the
+// step succeeded.
 func (r *measurement) recordOutcome(size *SizeResult, step string, err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -245,7 +251,7 @@
 	return err == nil
 }
 
-// withFleet opens a fleet, measures with it and closes it.
+// withFleet opens a fleet, calls measure with it and closes it.
 func (r *measurement) withFleet(size *SizeResult, measure func(*fleet)) {
 	f, err := r.openFleet(r.ctx, size.Members, gossip.Rules{Delay: networkDelay})
 	if err == nil {
@@ -257,7 +263,7 @@
 	}
 }
 
-// measureIdle measures the fleet while nothing happens. The baseline is what this process used before the fleet.
+// measureIdle measures the fleet without faults. baseline is the usage of this process before the fleet was opened.
 func (r *measurement) measureIdle(size *SizeResult, f *fleet, baseline *baselineUsage) {
 	idle, noLoss, err := f.measureIdle(r.ctx, baseline)
 	if r.recordOutcome(size, "idle", err) {
@@ -283,7 +289,7 @@
 	}
 }
 
-// measureLosses has a fleet lose packets, one share after the other.
+// measureLosses makes a fleet lose packets, with one share of Losses after the other.
 func (r *measurement) measureLosses(size *SizeResult, f *fleet) {
 	for _, loss := range r.Losses {
 		l, err := f.measureLoss(r.ctx, loss)
@@ -293,7 +299,7 @@
 	}
 }
 
-// measureStarved counts false detections while all fleets share too little processor time, and closes the fleets.
+// measureStarved counts false detections while all fleets share too little CPU time, and closes the fleets.
 func (r *measurement) measureStarved(sizes []*SizeResult, fleets []*fleet) {
 	var counting, ended sync.WaitGroup
 	restored := make(chan struct{})
@@ -322,7 +328,7 @@
 	ended.Wait()
 }
 
-// summarize works out the lag of the timer, and how the costs grow from the smallest fleet to the largest.
+// summarize computes the timer lag and the exponents by which the costs grow from the smallest fleet to the largest.
 func (m *Experiment) summarize(r *Result, lag []time.Duration) {
 	if slices.Sort(lag); len(lag) > 0 {
 		r.LagP99MS = harness.Milliseconds(harness.UpperQuantile(lag, 0.99))
--- a/internal/lab/experiment/memberscale/memberscale_test.go
+++ b/internal/lab/experiment/memberscale/memberscale_test.go
@@ -19,7 +19,8 @@
 	"marblelane/lab/scenarios"
 )
 
-// checkLeaks fails the test if goroutines are left. Those of the last probes end within a few intervals.
+// checkLeaks fails the test if it leaks goroutines. Those of the last probes end within a few intervals, for which
+// goleak waits.
 func checkLeaks(t *testing.T) {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
@@ -36,21 +37,21 @@
 		assert.Positive(t, s.Idle.Bytes)
 		assert.Positive(t, s.Idle.CPU)
 		assert.Positive(t, s.Crash.DetectAll)
-		assert.GreaterOrEqual(t, s.Crash.RemovedAll, s.Crash.DetectP50, "gone only after it was silent")
+		assert.GreaterOrEqual(t, s.Crash.RemovedAll, s.Crash.DetectP50, "a member was removed before it was unreachable")
 		want := 1 + len(m.Losses)
 		if s.Members <= m.MaxConcurrentSize {
 			want++ // starved
 		}
 		require.Len(t, s.Losses, want)
 		for _, l := range s.Losses {
-			assert.Zero(t, l.RemovedEvents, "a living member is counted out at %+v", l)
+			assert.Zero(t, l.RemovedEvents, "a running member was removed at %+v", l)
 			assert.GreaterOrEqual(t, l.AgreeSeconds, 0.0)
 		}
 		require.Len(t, s.Splits, 2)
 		for _, x := range s.Splits {
 			assert.Positive(t, x.NoticeSeconds)
 			assert.Positive(t, x.AgreeSeconds)
-			assert.Zero(t, x.MaxRemoved, "a member that is cut off still counts")
+			assert.Zero(t, x.MaxRemoved, "a member was removed because of a partition")
 		}
 	}
 	var out bytes.Buffer
@@ -58,7 +59,7 @@
 	assert.Contains(t, out.String(), "half and half")
 }
 
-// Measurements that were not done in time are named as unmeasured and have no result.
+// Measurements that were not done in time are listed in Unmeasured and have no result.
 func TestRun_timeoutAndCancel(t *testing.T) {
 	checkLeaks(t)
 	m := Default(true)
@@ -78,7 +79,8 @@
 	require.ErrorIs(t, err, context.Canceled)
 }
 
-// The check of agreement fails where a member is unreachable, and where the numbers are right and the names are not.
+// The check of agreement fails if a member is unreachable, and if the number of members is right but their names are
+// not.
 func TestCheckAgreement_detectsDisagreement(t *testing.T) {
 	checkLeaks(t)
 	m := Default(true)
@@ -88,7 +90,7 @@
 	defer f.close()
 	require.NoError(t, f.awaitAgreement(t.Context(), true))
 	f.network.Vanish(gossip.Addr(3), true)
-	x, err := f.measureSplit(t.Context(), "one and the rest", 1) // heals all but what vanished
+	x, err := f.measureSplit(t.Context(), "one and the rest", 1) // the vanished member stays unreachable
 	require.NoError(t, err)
 	assert.EqualValues(t, -1, x.AgreeSeconds)
 	assert.ErrorContains(t, f.awaitAgreement(t.Context(), false), "does not agree")
@@ -110,7 +112,8 @@
 	}
 }
 
-// In a fleet that trusts its failure detector members that are only cut off count as gone, and the result shows it.
+// With the planted defect that trusts the failure detector, members that are only partitioned are removed. The result
+// shows it.
 func TestMeasureSplit_countsRemoved(t *testing.T) {
 	checkLeaks(t)
 	m := Default(true)
@@ -138,5 +141,5 @@
 		assert.Positive(t, p.RSS)
 	}
 	_, err = m.MeasureProcesses(t.Context(), s, programs.Marblelane, 50*time.Millisecond)
-	require.ErrorContains(t, err, "did not start", "no sidecar")
+	require.ErrorContains(t, err, "did not start", "the program is not a sidecar")
 }
--- a/internal/lab/experiment/memberscale/print.go
+++ b/internal/lab/experiment/memberscale/print.go
@@ -22,7 +22,7 @@
 	fmt.Fprintf(w, "took %.0f s\n", r.ElapsedSeconds)
 }
 
-// formatSeconds formats a time that is negative where the event did not come.
+// formatSeconds formats a time, or "never" for a negative one, which means that the event did not come.
 func formatSeconds(seconds float64) string {
 	if seconds < 0 {
 		return "never"
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("%.2f", seconds)
 }
 
-// printSizes writes a table for each fault.
+// printSizes writes a table of the idle costs and one for each kind of fault.
 func printSizes(w io.Writer, r *Result) {
 	fmt.Fprintf(w, "Idle\n%8s %9s %7s %6s %15s %11s %12s %10s\n", "members", "joined s", "forced", "quiet",
 		"bytes/member s", "packets/ms", "us/member s", "KB/member")
--- a/internal/lab/experiment/memberscale/processes.go
+++ b/internal/lab/experiment/memberscale/processes.go
@@ -22,23 +22,24 @@
 	"marblelane/internal/membership/roster"
 )
 
-// ProcessResult is what idle sidecars use.
+// ProcessResult is the resource use of idle sidecar processes.
 type ProcessResult struct {
 	Members     int     `json:"members"`
-	WithMembers bool    `json:"section"`             // they have a section members; else the same without it
-	CPU         float64 `json:"cpu_us_per_member_s"` // of one process, mean
-	RSS         float64 `json:"rss_mb"`              // of one process, mean
-	JoinSeconds float64 `json:"joined_s"`            // until all agree, from when the last was ready; 0 without the section
+	WithMembers bool    `json:"section"`             // the configuration has the section "members"
+	CPU         float64 `json:"cpu_us_per_member_s"` // mean of a process
+	RSS         float64 `json:"rss_mb"`              // mean of a process
+	JoinSeconds float64 `json:"joined_s"`            // from when the last is ready until all agree; 0 without the section
 }
 
 const (
-	processConcurrency = 8 // processes that are started or polled at a time
-	maxProcessSeeds    = 3
-	processFleetLabel  = "lab"
+	processConcurrency = 8     // processes that are started or polled at the same time
+	maxProcessSeeds    = 3     // processes whose addresses all others have as seeds
+	processFleetLabel  = "lab" // name of the fleet in the members' settings
 )
 
-// MeasureProcesses measures real sidecars of a program, with the section members and without it, for a window of time.
-// They follow an empty list and have no clients; s gives their settings.
+// MeasureProcesses runs sidecar processes of a program, without and with the section "members" in their configuration,
+// and measures their usage for a window of time. Their list of servers is empty and they have no clients. Their other
+// settings are those of s.
 func (m *Experiment) MeasureProcesses(ctx context.Context, s *scenario.Scenario, program string,
 	window time.Duration) (*Result, error) {
 	start, r := time.Now(), &Result{}
@@ -66,12 +67,13 @@
 	program     string
 	dir         string
 	withMembers bool
-	seeds       []string // addresses of the first members
+	seeds       []string // member addresses of the first processes
 	discovery   *agent.Agents
 	children    *process.Supervisor
 	sidecars    []*testbed.Sidecar
 }
 
+// measureProcesses runs n sidecars, waits until they agree and are quiet, and measures their usage.
 func (m *Experiment) measureProcesses(ctx context.Context, s *scenario.Scenario, program string, n int,
 	section bool, window time.Duration) (*ProcessResult, error) {
 	dir, err := os.MkdirTemp("", "marblelane-members-")
@@ -95,7 +97,7 @@
 		}
 		result.JoinSeconds = time.Since(start).Seconds()
 	}
-	// Members gossip about the joining for a while, the longer the larger the fleet.
+	// Members gossip about a join for a time that increases with the size of the fleet.
 	if !harness.Sleep(ctx, m.Interval*time.Duration(5+n/5)) {
 		return nil, context.Cause(ctx)
 	}
@@ -141,7 +143,7 @@
 	return err
 }
 
-// config is a sidecar's configuration.
+// config returns the configuration of a sidecar.
 func (f *processFleet) config(i int) map[string]any {
 	p := &f.plan.Sidecars[i]
 	config := testbed.BaseConfig(f.scenario, p.Seed, f.discovery.Addr(i), f.plan.Settings(i))
@@ -157,7 +159,7 @@
 	return config
 }
 
-// measure sets what one sidecar uses in the mean over a window of time.
+// measure sets the mean CPU time and memory of a sidecar over a window of time in out.
 func (f *processFleet) measure(ctx context.Context, window time.Duration, out *ProcessResult) error {
 	before, err := f.totalUsage()
 	if err != nil {
@@ -177,7 +179,7 @@
 	return nil
 }
 
-// totalUsage sums the processor time and memory of all sidecars.
+// totalUsage returns the total CPU time and memory of all sidecars.
 func (f *processFleet) totalUsage() (sum process.Usage, err error) {
 	for _, c := range f.sidecars {
 		u, err := process.Measure(c.PID)
@@ -189,6 +191,7 @@
 	return sum, nil
 }
 
+// close ends the sidecars and the discovery service.
 func (f *processFleet) close() {
 	f.children.Close()
 	if f.discovery != nil {
@@ -196,7 +199,7 @@
 	}
 }
 
-// awaitProcessAgreement waits until each process reports exactly the others as its members.
+// awaitProcessAgreement waits until each process reports exactly all processes as its members.
 func (m *Experiment) awaitProcessAgreement(ctx context.Context, sidecars []*testbed.Sidecar) error {
 	ctx, cancel := context.WithTimeout(ctx, m.EventTimeout)
 	defer cancel()
@@ -216,12 +219,12 @@
 			}
 		}
 		if !harness.Sleep(ctx, m.Interval/5) {
-			return fmt.Errorf("they do not agree: %w", err)
+			return fmt.Errorf("sidecars do not agree on the members: %w", err)
 		}
 	}
 }
 
-// fetchReport reads what a sidecar reports of its members.
+// fetchReport gets the members that a sidecar reports on its management address.
 func fetchReport(ctx context.Context, client *http.Client, management string, report *membership.Report) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+management+"/members", nil)
 	if err != nil {
@@ -233,7 +236,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("GET %s is answered %s", req.URL, resp.Status)
+		return fmt.Errorf("GET %s: unexpected status %s", req.URL, resp.Status)
 	}
 	return json.NewDecoder(resp.Body).Decode(report)
 }
