--- a/cmd/marblelane/members_gone.go
+++ b/cmd/marblelane/members_gone.go
@@ -38,7 +38,7 @@
 		return fmt.Errorf("NAME %s: no process of this name at %s", c.Name, c.Addr)
 	case index < 0:
 		return fmt.Errorf("START %d: %s lists %s with the starts %s", c.Start, c.Addr, c.Name, strings.Join(starts, ", "))
-	case r.Members[index].State == membership.Removed:
+	case r.Members[index].State == membership.Gone:
 		fmt.Fprintf(a.out, "%s is already gone (%s)\n", idText(id), orDash(r.Members[index].Proof))
 		return nil
 	case r.Members[index].State != membership.Unreachable && !c.Yes:
--- a/cmd/marblelane/members_watch.go
+++ b/cmd/marblelane/members_watch.go
@@ -50,7 +50,7 @@
 	}
 	for _, ch := range view.Changes(before, r.Members) {
 		proof := ""
-		if ch.To == membership.Removed && ch.Member.Proof != "" {
+		if ch.To == membership.Gone && ch.Member.Proof != "" {
 			proof = " (" + ch.Member.Proof + ")"
 		}
 		fmt.Fprintf(&text, "%s %s: %s -> %s%s\n", at, idText(roster.ID{Name: ch.Member.Name, Start: ch.Member.Start}),
--- a/cmd/marblelane/registry_replace_copy.go
+++ b/cmd/marblelane/registry_replace_copy.go
@@ -122,7 +122,7 @@
 		return false, fmt.Errorf("%w: %s is not a replica", errPermanent, r.Old)
 	}
 	if reason := aliveReason(old); reason != "" && !r.Force {
-		if old.Member == membership.Removed { // it ended a moment ago, and its last acknowledgement is still recent
+		if old.Member == membership.Gone { // it ended a moment ago, and its last acknowledgement is still recent
 			return false, fmt.Errorf("%s to be silent: %s", r.Old, reason)
 		}
 		return false, fmt.Errorf("%w: %s is alive: %s; --force replaces it anyway", errPermanent, r.Old, reason)
@@ -180,7 +180,7 @@
 		wasReplica := false
 		for _, m := range report.Members {
 			if m.Name == r.Old && m.Role == "list" {
-				wasReplica = m.State == membership.Removed || m.State == membership.Unreachable
+				wasReplica = m.State == membership.Gone || m.State == membership.Unreachable
 			}
 		}
 		if wasReplica {
--- a/cmd/marblelane/registry_replace_copy_test.go
+++ b/cmd/marblelane/registry_replace_copy_test.go
@@ -134,7 +134,7 @@
 	require.NoError(t, old.cmd.Process.Signal(syscall.SIGSTOP))
 	wait("its silence", func() bool { return l.memberState(t, old.Name) == membership.Unreachable })
 	require.NoError(t, old.cmd.Process.Kill())
-	wait("its end", func() bool { return l.memberState(t, old.Name) == membership.Removed })
+	wait("its end", func() bool { return l.memberState(t, old.Name) == membership.Gone })
 	// A new replica that does not run is never added, so that it cannot put the majority at risk.
 	notRunning := &replicaProcess{Peer: listserver.Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "127.0.0.1:1"}}
 	replace(exitUsage, "r9 is not running", notRunning, "--within", "4s")
--- a/cmd/sidecar/members_test.go
+++ b/cmd/sidecar/members_test.go
@@ -119,7 +119,7 @@
 	for _, m := range []*member{a, fleet[2], fleet[3], fleet[4]} {
 		m.awaitState("the killed process to be gone", func() bool {
 			found := m.findMember("m1", 0)
-			return found.State == membership.Removed && found.Proof == "refused"
+			return found.State == membership.Gone && found.Proof == "refused"
 		})
 		m.awaitCounts(4, 4)
 	}
@@ -141,7 +141,7 @@
 	term := time.Now()
 	fleet[3].signal(syscall.SIGTERM)
 	for found := a.findMember("m3", 0); time.Since(term) < serviceEndAt; found = a.findMember("m3", 0) {
-		if found.State == membership.Removed {
+		if found.State == membership.Gone {
 			t.Fatal("the process has left while it still serves")
 		}
 	}
@@ -150,7 +150,7 @@
 	for _, m := range []*member{a, fleet[2], fleet[4]} {
 		m.awaitState("the terminated process to be gone", func() bool {
 			found := m.findMember("m3", 0)
-			return found.State == membership.Removed && found.Proof == "left"
+			return found.State == membership.Gone && found.Proof == "left"
 		})
 		m.awaitCounts(3, 3)
 	}
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -27,7 +27,7 @@
 
 const (
 	// lateResponseGrace is how long after the timeout of its attempt a client still reads. A response within it is
-	// recorded as late. If there is none, a NoAnswer event is recorded.
+	// recorded as late. If there is none, a NoResponse event is recorded.
 	lateResponseGrace = 500 * time.Millisecond
 	// maxIdle is how long a connection may be idle before it is discarded.
 	maxIdle     = 30 * time.Second
--- a/internal/lab/experiment/memberscale/memberscale_test.go
+++ b/internal/lab/experiment/memberscale/memberscale_test.go
@@ -105,7 +105,7 @@
 	good := sees(membership.Alive, a, b)
 	require.NoError(t, disagreement([]membership.Report{good, sees(membership.Suspected, b, a)}, running))
 	for _, bad := range []membership.Report{sees(membership.Alive, a, c), sees(membership.Alive, a),
-		sees(membership.Alive, a, b, c), sees(membership.Unreachable, a, b), sees(membership.Removed, a, b)} {
+		sees(membership.Alive, a, b, c), sees(membership.Unreachable, a, b), sees(membership.Gone, a, b)} {
 		require.Error(t, disagreement([]membership.Report{good, bad}, running))
 	}
 }
--- a/internal/lab/invariant/invariant.go
+++ b/internal/lab/invariant/invariant.go
@@ -281,7 +281,7 @@
 		}
 		if e.Kind == record.Rejected {
 			a.rejected = true
-			continue // the Replied event that follows has the end
+			continue // the ResponseSent event that follows has the end
 		}
 		a.to = e.T
 	}
--- a/internal/lab/stock/request_run.go
+++ b/internal/lab/stock/request_run.go
@@ -118,7 +118,7 @@
 	switch {
 	case overloaded:
 		s.log.Add(record.Event{Kind: record.OverloadCrash, Request: v.id, Sidecar: int32(v.conn.Caller),
-			Server: int32(s.Number), Class: record.None, Note: "sent more than it can bear while cold"})
+			Server: int32(s.Number), Class: record.None, Note: "overloaded during slow start"})
 		close(v.ended)
 		if s.OnOverload != nil {
 			go s.OnOverload()
--- a/internal/lab/stock/server_test.go
+++ b/internal/lab/stock/server_test.go
@@ -119,7 +119,7 @@
 		t.Errorf("request: got %v, want a reset", err)
 	}
 	if !hasEvent(log, record.WorkStarted) || hasEvent(log, record.ResponseSent) {
-		t.Errorf("want an event WorkStarted and none Replied: %v", log.Events())
+		t.Errorf("want an event WorkStarted and none ResponseSent: %v", log.Events())
 	}
 	s.SetBehaviour(func(b *Behaviour) { b.Reset = 0 })
 	if err := dialServer(t, s).exchange(); err != nil {
--- a/internal/membership/collect/collect.go
+++ b/internal/membership/collect/collect.go
@@ -72,7 +72,7 @@
 			oldestUnreachableMS = max(oldestUnreachableMS, m.SinceMS)
 		}
 	}
-	for _, state := range []membership.MemberState{membership.Alive, membership.Suspected, membership.Unreachable, membership.Removed} {
+	for _, state := range []membership.MemberState{membership.Alive, membership.Suspected, membership.Unreachable, membership.Gone} {
 		gauge(c.members, float64(membersIn[state]), string(state))
 	}
 	admitted := 0.0
--- a/internal/membership/commands.go
+++ b/internal/membership/commands.go
@@ -40,10 +40,10 @@
 	return <-result // the owner executes each command that it has received
 }
 
-// removeMember removes a process that an operator has confirmed to have ended.
-type removeMember struct{ id roster.ID }
+// confirmGone marks a process gone that an operator has confirmed to have ended.
+type confirmGone struct{ id roster.ID }
 
-func (c removeMember) execute(o *owner) error {
+func (c confirmGone) execute(o *owner) error {
 	if o.hasLeft.Load() {
 		return fmt.Errorf("%s@%d: %w", c.id.Name, c.id.Start, net.ErrClosed)
 	}
@@ -51,12 +51,12 @@
 		return fmt.Errorf("%s@%d: %w", c.id.Name, c.id.Start, ErrUnknownMember)
 	}
 	o.log.Warn("members: operator confirmed that a process has ended", "name", c.id.Name, "start", c.id.Start)
-	o.merge(o.now(), removedEntry(c.id, roster.ProofOperator))
+	o.merge(o.now(), goneEntry(c.id, roster.ProofOperator))
 	o.scanNow()
 	return nil
 }
 
-// recordConnectionRefused records that the address of a process refuses connections. It removes the process if it is
+// recordConnectionRefused records that the address of a process refuses connections. It marks the process gone if it is
 // still unreachable.
 type recordConnectionRefused struct{ id roster.ID }
 
@@ -65,7 +65,7 @@
 	o.applyNodeChanges(now)
 	for _, e := range o.roster.Unreachable() {
 		if idOf(e) == c.id {
-			o.merge(now, removedEntry(c.id, roster.ProofRefused))
+			o.merge(now, goneEntry(c.id, roster.ProofRefused))
 		}
 	}
 	o.scanNow()
@@ -102,7 +102,7 @@
 		timeout = max(min(timeout, time.Until(deadline)), time.Millisecond)
 	}
 	i := o.current.Load()
-	entry := removedEntry(i.id, roster.ProofLeft)
+	entry := goneEntry(i.id, roster.ProofLeft)
 	entry.Addr, entry.Observer = o.addr, o.cfg.Observer
 	o.broadcasts.Reset()
 	o.merge(o.now(), entry)
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -20,7 +20,7 @@
 
 // Defects that the lab plants to verify that its checks find them.
 const (
-	DefectTrustDetector = "trust-detector" // removes a member as soon as the failure detector declares it dead
+	DefectTrustDetector = "trust-detector" // declares a member gone as soon as the failure detector declares it dead
 	DefectNoAdmission   = "no-admission"   // admits a joining process at once
 )
 
--- a/internal/membership/group.go
+++ b/internal/membership/group.go
@@ -2,8 +2,8 @@
 // those of hashicorp/memberlist (SWIM), called the library below. Package roster derives from them how many members
 // share the fleet's budgets. docs/membership.md states the guarantees.
 //
-// The failure detector alone removes no member: an unreachable process may still run and use its quota. A member is
-// removed, that is no longer counted, once there is a proof that its process has ended (roster.Proof).
+// The failure detector alone never declares a member gone: an unreachable process may still run and use its quota. A
+// member is gone, that is no longer counted, once there is a proof that its process has ended (roster.Proof).
 //
 // A Group has three goroutines. The owner holds the roster and publishes its view. The joiner exchanges the full state
 // (memberlist's push/pull) with seeds and unreachable members. The prober looks for proofs that unreachable members
@@ -137,13 +137,13 @@
 // View returns this process's current view of the fleet.
 func (g *Group) View() roster.View { return *g.view.Load() }
 
-// RemoveMember removes a process that an operator has confirmed to have ended. It fails with ErrUnknownMember if the
+// ConfirmGone marks a process gone that an operator has confirmed to have ended. It fails with ErrUnknownMember if the
 // process is not known. A process that still runs takes a new incarnation and rejoins.
-func (g *Group) RemoveMember(id roster.ID) error {
+func (g *Group) ConfirmGone(id roster.ID) error {
 	if err := checkID(id); err != nil {
 		return fmt.Errorf("%s@%d: %w", id.Name, id.Start, err)
 	}
-	return g.runOnOwner(context.Background(), removeMember{id})
+	return g.runOnOwner(context.Background(), confirmGone{id})
 }
 
 // Leave notifies the other members that this process leaves, and sends nothing after that. It returns when the
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -270,8 +270,8 @@
 	require.NoError(t, g[1].Close())
 	f.eventually("p1 is unreachable", func() bool { return stateOf(g[0], "p1") == "silent" })
 	require.Equal(t, 2, g[0].View().Known)
-	require.ErrorIs(t, g[0].RemoveMember(roster.ID{Name: "p1", Start: 1}), ErrUnknownMember)
-	require.NoError(t, g[0].RemoveMember(g[1].Report().Self))
+	require.ErrorIs(t, g[0].ConfirmGone(roster.ID{Name: "p1", Start: 1}), ErrUnknownMember)
+	require.NoError(t, g[0].ConfirmGone(g[1].Report().Self))
 	require.Equal(t, "gone told", stateOf(g[0], "p1"))
 	require.Equal(t, 1, g[0].View().Known)
 }
@@ -338,13 +338,13 @@
 	})
 }
 
-func TestGroup_RemoveRunningMember(t *testing.T) {
+func TestGroup_ConfirmGoneRunningMember(t *testing.T) {
 	t.Parallel()
 	f := newTestFleet(t)
 	g := f.openAll(3, nil)
 	before := g[2].Report().Self
-	require.NoError(t, g[0].RemoveMember(before))
-	f.eventually("the removed process takes a greater start, which all members know", func() bool {
+	require.NoError(t, g[0].ConfirmGone(before))
+	f.eventually("the process reported gone takes a greater start, which all members know", func() bool {
 		return g[2].Report().Self.Start > before.Start && !slices.ContainsFunc(g, func(g *Group) bool {
 			return g.View() != roster.View{Known: 3, Reachable: 3, Admitted: true}
 		})
--- a/internal/membership/hostile_test.go
+++ b/internal/membership/hostile_test.go
@@ -11,7 +11,7 @@
 )
 
 // A process of another name, whose clock is behind, reuses the address of a crashed process. The crashed process must
-// be removed, and the other one must not raise its start.
+// be gone, and the other one must not raise its start.
 func TestGroup_AddressReusedByOtherName(t *testing.T) {
 	f := newTestFleet(t)
 	g := f.openAll(2, nil)
@@ -19,14 +19,14 @@
 	f.eventually("a admitted", func() bool { return a.View().Admitted && g[0].View().Known == 3 })
 	require.NoError(t, a.Close())
 	b := f.open("b", func(c *Config) { c.Bind = a.addr }, g[0].addr)
-	f.eventually("a removed, b admitted", func() bool {
+	f.eventually("a gone, b admitted", func() bool {
 		return b.View().Admitted && b.View().Known == 3 && g[0].View().Known == 3
 	})
 	require.Zero(t, b.Stats().StartsRaised)
 }
 
-// A process whose start is the largest possible one cannot rejoin after it was removed, and has no running library. It
-// must still be able to leave.
+// A process whose start is the largest possible one cannot rejoin after it was reported gone, and has no running
+// library. It must still be able to leave.
 func TestGroup_LeaveWithoutLibrary(t *testing.T) {
 	f := newTestFleet(t)
 	g := f.openAll(2, nil)
@@ -35,6 +35,6 @@
 		roster.Entry{Name: self.Name, Start: maxStart - 1, GoneStart: maxStart - 1, Proof: roster.ProofOperator},
 		roster.Entry{Name: self.Name, Start: self.Start, GoneStart: self.Start, Proof: roster.ProofOperator}).bytes()
 	require.NoError(t, g[1].current.Load().library.SendToAddress(memberlist.Address{Addr: g[0].addr}, forged))
-	f.eventually("the removed process cannot rejoin", func() bool { return g[0].current.Load().transport.closed.Load() })
+	f.eventually("the gone process cannot rejoin", func() bool { return g[0].current.Load().transport.closed.Load() })
 	require.NoError(t, g[0].Leave(t.Context()))
 }
--- a/internal/membership/http.go
+++ b/internal/membership/http.go
@@ -22,12 +22,12 @@
 //   - GET /members returns the Report. With ?watch=1 it streams a report per line at each change, and an empty line
 //     every 2 s while nothing changes.
 //   - POST /members/leave makes this process leave the fleet.
-//   - POST /members/gone with {"name", "start"} removes a process that has ended.
+//   - POST /members/gone with {"name", "start"} marks a process gone that has ended.
 func (g *Group) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /members", g.serveReport)
 	mux.HandleFunc("POST /members/leave", g.serveLeave)
-	mux.HandleFunc("POST /members/gone", g.serveRemove)
+	mux.HandleFunc("POST /members/gone", g.serveConfirmGone)
 	return mux
 }
 
@@ -72,7 +72,7 @@
 	writeResult(w, g.Leave(r.Context()))
 }
 
-func (g *Group) serveRemove(w http.ResponseWriter, r *http.Request) {
+func (g *Group) serveConfirmGone(w http.ResponseWriter, r *http.Request) {
 	var id roster.ID
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
@@ -84,7 +84,7 @@
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	writeResult(w, g.RemoveMember(id))
+	writeResult(w, g.ConfirmGone(id))
 }
 
 // writeResult writes the response for the result of an operator's request.
--- a/internal/membership/owner.go
+++ b/internal/membership/owner.go
@@ -140,7 +140,7 @@
 	o.broadcastPending(now)
 	o.resolveConflict(now)
 	if o.scanDue(now) {
-		o.removeReplaced(now)
+		o.markReplacedGone(now)
 		o.raiseStart(now)
 	}
 	o.restartInstance()
@@ -173,7 +173,7 @@
 		delete(o.reachable, c.id)
 		o.roster.SetReachable(now, c.id, false)
 		if o.cfg.Defect == DefectTrustDetector {
-			o.merge(now, removedEntry(c.id, roster.ProofOperator))
+			o.merge(now, goneEntry(c.id, roster.ProofOperator))
 		}
 	}
 }
@@ -189,7 +189,7 @@
 // idOf returns the identity of an entry's process.
 func idOf(e roster.Entry) roster.ID { return roster.ID{Name: e.Name, Start: e.Start} }
 
-// removedEntry returns an entry with a proof that a process has ended.
-func removedEntry(id roster.ID, proof roster.Proof) roster.Entry {
+// goneEntry returns an entry with a proof that a process has ended.
+func goneEntry(id roster.ID, proof roster.Proof) roster.Entry {
 	return roster.Entry{Name: id.Name, Start: id.Start, GoneStart: id.Start, Proof: proof}
 }
--- a/internal/membership/owner_identity.go
+++ b/internal/membership/owner_identity.go
@@ -1,6 +1,6 @@
 package membership
 
-// This file changes this process's incarnation, and removes members whose addresses are reused by other processes.
+// This file changes this process's incarnation, and marks members gone whose addresses other processes reuse.
 
 import (
 	"fmt"
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// removeReplaced removes processes whose address another process uses: one of the same name with a later start, or one
-// of another name while the process is unreachable. Starts of different names are not compared, as clocks differ.
-func (o *owner) removeReplaced(now time.Duration) {
+// markReplacedGone marks processes gone whose address another process uses: one of the same name with a later start, or
+// one of another name while the process is unreachable. Starts of different names are not compared, as clocks differ.
+func (o *owner) markReplacedGone(now time.Duration) {
 	self := o.roster.Self()
 	owners := map[string]roster.ID{o.addr: self} // by address
 	for id, n := range o.reachable {
@@ -66,7 +66,7 @@
 		}
 		sameName := current.Name == e.Name
 		if sameName && current.Start > e.Start || !sameName && o.reachable[id] == nil {
-			o.merge(now, removedEntry(id, roster.ProofAddressReused))
+			o.merge(now, goneEntry(id, roster.ProofAddressReused))
 		}
 	}
 }
@@ -98,7 +98,7 @@
 	o.startRaise.count++
 	o.log.Warn("members: raised the start above that of an earlier process of the same name, as the clock was set back",
 		"name", self.Name, "start", self.Start, "earlier_start", later.Start)
-	o.merge(now, removedEntry(self, roster.ProofAddressReused))
+	o.merge(now, goneEntry(self, roster.ProofAddressReused))
 	o.startRaise.laterSince = 0
 }
 
@@ -118,11 +118,11 @@
 func (o *owner) resolveConflict(now time.Duration) {
 	if self := o.roster.Self(); o.current.Load().takeConflict() {
 		o.log.Warn("members: found another process with the same name and start", "name", self.Name, "start", self.Start)
-		o.merge(now, removedEntry(self, roster.ProofAddressReused))
+		o.merge(now, goneEntry(self, roster.ProofAddressReused))
 	}
 }
 
-// restartInstance restarts the library if this process was removed and has a new incarnation. The old node leaves
+// restartInstance restarts the library if this process was reported gone and has a new incarnation. The old node leaves
 // first, so that it is not reported as a duplicate.
 func (o *owner) restartInstance() {
 	id, oldInstance := o.roster.Self(), o.current.Load()
@@ -131,7 +131,7 @@
 	}
 	if !oldInstance.transport.closed.Load() {
 		o.counters.startsRaised.Add(1)
-		o.log.Warn("members: removed while running, rejoining with a new start", "name", id.Name, "start", id.Start,
+		o.log.Warn("members: reported gone while running, rejoining with a new start", "name", id.Name, "start", id.Start,
 			"earlier_start", oldInstance.id.Start)
 		o.publish(o.now()) // gives up the quota before the new incarnation joins
 		if len(o.reachable) > 0 {
--- a/internal/membership/owner_messages.go
+++ b/internal/membership/owner_messages.go
@@ -70,7 +70,7 @@
 			o.pendingBroadcasts[id] = now
 		}
 		if o.status.members[id] != nil && !e.Present() {
-			o.log.Info("members: member removed", "name", e.Name, "start", e.GoneStart, "proof", proofText(e.Proof))
+			o.log.Info("members: member is gone", "name", e.Name, "start", e.GoneStart, "proof", proofText(e.Proof))
 		}
 	}
 	if len(changed) > 0 {
--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -21,7 +21,7 @@
 	Alive       MemberState = "alive"
 	Suspected   MemberState = "suspected" // did not acknowledge a probe, and may still refute the suspicion
 	Unreachable MemberState = "silent"    // declared dead by the failure detector, but not proved to have ended; counted
-	Removed     MemberState = "gone"      // proved to have ended; not counted
+	Gone        MemberState = "gone"      // proved to have ended; not counted
 )
 
 // Member is the state of one process as seen by another one.
@@ -33,7 +33,7 @@
 	Role        string      `json:"role,omitempty"`
 	Version     string      `json:"version,omitempty"`
 	State       MemberState `json:"state"`
-	Proof       string      `json:"proof,omitempty"` // why State is Removed: the text of a roster.Proof
+	Proof       string      `json:"proof,omitempty"` // why State is Gone: the text of a roster.Proof
 	SinceMS     int64       `json:"since_ms"`        // time since State changed, in ms
 	LastAliveMS int64       `json:"heard_ms"`        // time since the process was last alive, in ms; -1 means never
 	Duplicate   bool        `json:"twin,omitempty"`  // alive together with another process of its name for 10 s or more
@@ -94,7 +94,7 @@
 	} else if m.lastAlive >= 0 {
 		member.LastAliveMS = (now - m.lastAlive).Milliseconds()
 	}
-	if m.state == Removed {
+	if m.state == Gone {
 		member.Proof = proofText(m.proof)
 	}
 	return member
--- a/internal/membership/stats.go
+++ b/internal/membership/stats.go
@@ -8,7 +8,7 @@
 
 // counters holds the counters behind Stats.
 type counters struct {
-	startsRaised atomic.Uint64 // new incarnations after this process was removed while running
+	startsRaised atomic.Uint64 // new incarnations after this process was reported gone while running
 	failedJoins  atomic.Uint64 // failed exchanges with a seed or an unreachable member
 
 	mu    sync.Mutex
@@ -41,7 +41,7 @@
 
 // Stats holds counts since Open in addition to those of Report.
 type Stats struct {
-	StartsRaised uint64            // new incarnations after this process was removed while running
+	StartsRaised uint64            // new incarnations after this process was reported gone while running
 	FailedJoins  uint64            // failed exchanges with a seed or an unreachable member
 	Dropped      map[string]uint64 // dropped packets, streams, messages and nodes, by reason
 }
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -153,7 +153,7 @@
 func (o *owner) stateOf(e roster.Entry, n *aliveNode) MemberState {
 	switch {
 	case !e.Present():
-		return Removed
+		return Gone
 	case idOf(e) == o.roster.Self():
 		return Alive
 	case n == nil:
--- a/internal/membership/units_test.go
+++ b/internal/membership/units_test.go
@@ -107,7 +107,7 @@
 	request.Sender, request.Digest = processID{"a", 7}, 1<<63
 	f.Add(request.bytes())
 	f.Add(message{Kind: kindAck, Sender: processID{"b", 1}, Acknowledged: processID{"a", 7}, Digest: 9}.bytes())
-	f.Add(encodeEntries(kindEntries, removedEntry(roster.ID{Name: "a", Start: 7}, roster.ProofLeft)).bytes())
+	f.Add(encodeEntries(kindEntries, goneEntry(roster.ID{Name: "a", Start: 7}, roster.ProofLeft)).bytes())
 	f.Add([]byte(`{"v":1,"k":"later","x":{}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := decodeMessage(b, nil)
--- a/internal/membership/view/diff.go
+++ b/internal/membership/view/diff.go
@@ -169,7 +169,7 @@
 	h := fnv.New64a()
 	for _, m := range members {
 		gone := byte(0)
-		if m.State == membership.Removed {
+		if m.State == membership.Gone {
 			gone = 1
 		}
 		fmt.Fprintf(h, "%d:", len(m.Name)) // separates the name from the start
--- a/internal/membership/view/diff_test.go
+++ b/internal/membership/view/diff_test.go
@@ -14,7 +14,7 @@
 	"marblelane/internal/membership/roster"
 )
 
-var states = []membership.MemberState{membership.Alive, membership.Suspected, membership.Unreachable, membership.Removed,
+var states = []membership.MemberState{membership.Alive, membership.Suspected, membership.Unreachable, membership.Gone,
 	Unknown}
 
 // drawReport draws a report that lists a random selection of six members.
@@ -169,6 +169,6 @@
 	assert.EqualValues(t, 30, Diff(observe(alive, young))[0].ForMS, "since the start of the one that does not list the member")
 	assert.EqualValues(t, 40, Diff(observe(young, alive, silent))[0].ForMS)
 	assert.Equal(t, Digest(alive), Digest(silent), "reachability does not matter")
-	assert.NotEqual(t, Digest(alive), Digest(report(membership.Removed, 0, 0)))
+	assert.NotEqual(t, Digest(alive), Digest(report(membership.Gone, 0, 0)))
 	assert.NotEqual(t, Digest(alive), Digest(young))
 }
--- a/internal/membership/view/wire_test.go
+++ b/internal/membership/view/wire_test.go
@@ -19,7 +19,7 @@
 			{Name: addr, Start: 1, State: membership.Alive, SinceMS: 90},
 			{Name: "x", Start: 7, State: state, Proof: proof, SinceMS: 40}}}
 	}
-	alive, gone := report("a", membership.Alive, ""), report("b", membership.Removed, "refused")
+	alive, gone := report("a", membership.Alive, ""), report("b", membership.Gone, "refused")
 	stillAlive := report("b", membership.Alive, "")
 	got := ""
 	for _, all := range [][]Observation{
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// The service reads the wall clock only through the clock of its fault plan. Any other read would make the lab's
+// The service reads the wall clock only through the clock of its fault injector. Any other read would make the lab's
 // copy-clock scenario meaningless, as the clock steps that it injects would not reach it.
 func TestWallClock_singleReader(t *testing.T) {
 	files, err := filepath.Glob("*.go")
--- a/internal/registry/listserver/members.go
+++ b/internal/registry/listserver/members.go
@@ -112,7 +112,7 @@
 func selfRemoved(r membership.Report) bool {
 	for _, member := range r.Members {
 		if member.Name == r.Self.Name && member.Start == r.Self.Start {
-			return member.State == membership.Removed
+			return member.State == membership.Gone
 		}
 	}
 	return false
--- a/internal/registry/members_test.go
+++ b/internal/registry/members_test.go
@@ -116,7 +116,7 @@
 	_, text = call(t, "GET", all[0].cfg.Listen, "/stats", "")
 	require.Contains(t, text, "registry_members{state=\"alive\"} 3\n")
 	all[1].end(t)
-	until(t, "the stopped member", stands(membership.Alive, membership.Removed, membership.Alive))
+	until(t, "the stopped member", stands(membership.Alive, membership.Gone, membership.Alive))
 	require.Len(t, status(t, all[0]).Replicas, 3, "the membership group does not change the voters")
 	// A replica that has left the group does not report the last states that it saw.
 	code, text = call(t, "POST", all[0].cfg.Listen, listserver.MembersPath+"/leave", "")
--- a/internal/sidecar/fleet/membership.go
+++ b/internal/sidecar/fleet/membership.go
@@ -278,7 +278,7 @@
 	if group := m.group.Load(); group != nil {
 		report = group.Report()
 	}
-	states := []membership.MemberState{membership.Alive, membership.Suspected, membership.Unreachable, membership.Removed}
+	states := []membership.MemberState{membership.Alive, membership.Suspected, membership.Unreachable, membership.Gone}
 	count, oldest := map[membership.MemberState]int{}, int64(0)
 	for _, one := range report.Members {
 		count[one.State]++
