--- a/internal/lab/experiment/compare/compare.go
+++ b/internal/lab/experiment/compare/compare.go
@@ -32,14 +32,14 @@
 
 // Comparison is the result of two sides played in turn on the same seeds.
 type Comparison struct {
-	A         string   `json:"a"`
-	B         string   `json:"b"`
-	Seeds     []uint64 `json:"seeds"`
-	Pairs     []Pair   `json:"pairs"`
-	Rows      []Row    `json:"figures"`
-	BrokenA   int      `json:"rules_broken_a"` // plays that broke a rule
-	BrokenB   int      `json:"rules_broken_b"`
-	LatePlays int      `json:"late"` // plays that did not count and were played again
+	A        string   `json:"a"`
+	B        string   `json:"b"`
+	Seeds    []uint64 `json:"seeds"`
+	Pairs    []Pair   `json:"pairs"`
+	Rows     []Row    `json:"figures"`
+	BrokenA  int      `json:"rules_broken_a"` // plays that broke a rule
+	BrokenB  int      `json:"rules_broken_b"`
+	LateRuns int      `json:"late"` // plays that did not count and were played again
 }
 
 // Pair has the figures of both sides on one seed.
@@ -65,28 +65,28 @@
 	diffs  []float64
 }
 
-// maxLatePlays is the number of late plays of a side and seed after which the comparison fails.
-const maxLatePlays = 3
+// maxLateRuns is the number of late plays of a side and seed after which the comparison fails.
+const maxLateRuns = 3
 
 var errLabLate = errors.New("the machine is too busy: the lab was late again and again")
 
 // Run plays both sides on a number of consecutive seeds. The sides take turns in going first, so that a change of the
 // machine's load favours neither.
-func Run(ctx context.Context, a, b Side, first uint64, plays int, o harness.Options) (*Comparison, error) {
+func Run(ctx context.Context, a, b Side, first uint64, runs int, o harness.Options) (*Comparison, error) {
 	c := &Comparison{A: a.Name, B: b.Name}
 	sides := [2]Side{a, b}
-	for k := range plays {
+	for k := range runs {
 		pair := Pair{Seed: first + uint64(k)}
 		order := [2]int{0, 1}
 		if k%2 == 1 {
 			order = [2]int{1, 0}
 		}
 		for _, side := range order {
-			if err := c.playSide(ctx, sides[side], side, &pair, o); err != nil {
+			if err := c.runSide(ctx, sides[side], side, &pair, o); err != nil {
 				return nil, fmt.Errorf("%s, seed %d: %w", sides[side].Name, pair.Seed, err)
 			}
 			if o.Progress != nil {
-				fmt.Fprintf(o.Progress, "play %d of %d, seed %d, %s: %.2f%% in aim\n", k+1, plays, pair.Seed,
+				fmt.Fprintf(o.Progress, "play %d of %d, seed %d, %s: %.2f%% in aim\n", k+1, runs, pair.Seed,
 					sides[side].Name, 100*pair.figures(side).InObjective)
 			}
 		}
@@ -97,19 +97,19 @@
 	return c, nil
 }
 
-// playSide plays one side of a pair and keeps its figures; side is its number.
-func (c *Comparison) playSide(ctx context.Context, s Side, side int, pair *Pair, o harness.Options) error {
-	played, late, err := playUntilOnTime(ctx, s, pair.Seed, o)
-	c.LatePlays += late
+// runSide plays one side of a pair and keeps its figures; side is its number.
+func (c *Comparison) runSide(ctx context.Context, s Side, side int, pair *Pair, o harness.Options) error {
+	completed, late, err := runUntilOnTime(ctx, s, pair.Seed, o)
+	c.LateRuns += late
 	if err != nil {
 		return err
 	}
-	*pair.figures(side) = played.Result.Figures
-	for _, p := range played.Result.Sidecars {
+	*pair.figures(side) = completed.Result.Figures
+	for _, p := range completed.Result.Sidecars {
 		pair.CPU[side] += p.CPU
 		pair.RSS[side] = max(pair.RSS[side], p.PeakRSS)
 	}
-	if len(played.Verdict.Broken()) > 0 {
+	if len(completed.Verdict.Broken()) > 0 {
 		if side == 0 {
 			c.BrokenA++
 		} else {
@@ -119,23 +119,23 @@
 	return nil
 }
 
-// playUntilOnTime plays a side until the lab was not late. It also returns the number of late plays.
-func playUntilOnTime(ctx context.Context, side Side, seed uint64, o harness.Options) (*report.Report, int, error) {
-	for late := range maxLatePlays {
+// runUntilOnTime plays a side until the lab was not late. It also returns the number of late plays.
+func runUntilOnTime(ctx context.Context, side Side, seed uint64, o harness.Options) (*report.Report, int, error) {
+	for late := range maxLateRuns {
 		o := o
 		o.Seed, o.Program, o.Progress = seed, side.Program, nil
 		if o.Dir != "" {
 			o.Dir = filepath.Join(o.Dir, fmt.Sprintf("%s-%d", filepath.Base(side.Name), seed))
 		}
-		played, err := lab.Run(ctx, side.Scenario, o)
+		completed, err := lab.Run(ctx, side.Scenario, o)
 		if err != nil {
 			return nil, late, err
 		}
-		if outcome, _ := played.Outcome(); outcome != report.Late {
-			return played, late, nil
+		if outcome, _ := completed.Outcome(); outcome != report.Late {
+			return completed, late, nil
 		}
 	}
-	return nil, maxLatePlays, errLabLate
+	return nil, maxLateRuns, errLabLate
 }
 
 // comparedFigures are the rows of a comparison, in their order.
@@ -194,7 +194,7 @@
 	for _, r := range c.Rows {
 		fmt.Fprintf(w, "%-18s %10.4f %10.4f %+10.4f %10.4f %+10.4f .. %+.4f\n", r.Name, r.A, r.B, r.Diff, r.Spread, r.Min, r.Max)
 	}
-	fmt.Fprintf(w, "\nplays with a broken rule: A %d, B %d; plays that did not count, as the lab was late: %d\n", c.BrokenA, c.BrokenB, c.LatePlays)
+	fmt.Fprintf(w, "\nplays with a broken rule: A %d, B %d; plays that did not count, as the lab was late: %d\n", c.BrokenA, c.BrokenB, c.LateRuns)
 }
 
 // Plot draws the difference of each seed for the shares, as PNG and SVG.
--- a/internal/lab/experiment/requestcost/requestcost.go
+++ b/internal/lab/experiment/requestcost/requestcost.go
@@ -96,7 +96,7 @@
 	defaultSettleTimeout = 20 * time.Second
 	maxFailedFraction    = 0.01 // of the requests of a valid round
 	minRoutedFraction    = 0.99 // of the requests of a variant with routes
-	subset               = "near"
+	subsetName           = "near"
 	sidecarSeed          = 1
 	maxFleetSeeds        = 3
 )
@@ -132,7 +132,7 @@
 // reverses from round to round and from slice to slice, so that a change of the machine's load favours none. It is also
 // an error if a variant fails requests, if its requests do not follow the route, or if it does not join the fleet.
 func Measure(ctx context.Context, o Options) (*Result, error) {
-	base, err := o.check()
+	base, err := o.validate()
 	if err != nil {
 		return nil, fmt.Errorf("request cost: %w", err)
 	}
@@ -146,7 +146,7 @@
 	}
 	rounds := make([][]Round, len(o.Variants))
 	for k := range o.Rounds {
-		results, err := c.playRound(ctx, k)
+		results, err := c.runRound(ctx, k)
 		if err != nil {
 			return nil, fmt.Errorf("request cost: round %d: %w", k+1, err)
 		}
@@ -160,8 +160,8 @@
 	return summarize(&o, base, rounds), nil
 }
 
-// check rejects invalid options and returns the number of the baseline variant.
-func (o *Options) check() (base int, err error) {
+// validate rejects invalid options and returns the number of the baseline variant.
+func (o *Options) validate() (base int, err error) {
 	if len(o.Variants) == 0 {
 		return 0, errors.New("there is no variant")
 	}
@@ -193,14 +193,14 @@
 
 // measurement is a measurement under way.
 type measurement struct {
-	options  Options
-	run      *harness.Run      // the plan, the folder and the supervisor of the processes
-	registry *testbed.Registry // the list service; nil: the stand-in
-	agents   *agent.Agents     // the stand-in for the list service
-	sidecars *testbed.Launcher
-	servers  []*server
-	seeds    []string // of the fleet
-	ids      atomic.Uint64
+	options    Options
+	run        *harness.Run      // the plan, the folder and the supervisor of the processes
+	registry   *testbed.Registry // the list service; nil: the stand-in
+	agents     *agent.Agents     // the stand-in for the list service
+	sidecars   *testbed.Launcher
+	servers    []*server
+	fleetSeeds []string // of the fleet
+	ids        atomic.Uint64
 }
 
 // startEnvironment starts everything but the measured sidecars.
@@ -214,21 +214,21 @@
 		return err
 	}
 	for i := range c.run.Plan.Servers {
-		server, err := startServer(slices.Contains(c.run.Plan.Subsets[subset], i))
+		server, err := startServer(slices.Contains(c.run.Plan.Subsets[subsetName], i))
 		if err != nil {
 			return err
 		}
 		c.servers = append(c.servers, server)
 	}
 	if slices.ContainsFunc(c.options.Variants, func(v Variant) bool { return v.WithRoutes }) {
-		err = c.startCopies(ctx)
+		err = c.startReplicas(ctx)
 	} else {
 		err = c.startAgent()
 	}
 	if err != nil {
 		return err
 	}
-	if err := c.makeConfig(); err != nil {
+	if err := c.buildConfig(); err != nil {
 		return err
 	}
 	if i := slices.IndexFunc(c.options.Variants, func(v Variant) bool { return v.WithMembers }); i >= 0 {
@@ -237,19 +237,19 @@
 	return nil
 }
 
-// startCopies starts the list service, with all servers on its list and a route for the tenant.
-func (c *measurement) startCopies(ctx context.Context) error {
+// startReplicas starts the list service, with all servers on its list and a route for the tenant.
+func (c *measurement) startReplicas(ctx context.Context) error {
 	c.registry = testbed.NewRegistry(c.run)
 	if err := c.registry.Start(ctx); err != nil {
 		return err
 	}
 	for i := range c.servers {
-		e := c.entry(i)
+		e := c.listEntry(i)
 		if _, _, err := c.registry.Change(ctx, "/registry/instances/"+e.UID, e); err != nil {
 			return err
 		}
 	}
-	_, _, err := c.registry.Change(ctx, "/routes/"+testbed.Tenant+"/base", map[string]string{"to": subset})
+	_, _, err := c.registry.Change(ctx, "/routes/"+testbed.Tenant+"/base", map[string]string{"to": subsetName})
 	return err
 }
 
@@ -257,7 +257,7 @@
 func (c *measurement) startAgent() error {
 	var list []agent.Entry
 	for i := range c.servers {
-		list = append(list, c.entry(i))
+		list = append(list, c.listEntry(i))
 	}
 	link := relay.NewLink(relay.Rules{}, 1)
 	var err error
@@ -266,21 +266,21 @@
 	return err
 }
 
-// entry is the list entry of a server.
-func (c *measurement) entry(i int) agent.Entry {
+// listEntry is the list listEntry of a server.
+func (c *measurement) listEntry(i int) agent.Entry {
 	e := c.run.Entry(i, agent.Ready, 0)
 	e.Endpoint = c.servers[i].addr
 	return e
 }
 
-// makeConfig makes the configuration that all sidecars have in common.
-func (c *measurement) makeConfig() error {
+// buildConfig makes the configuration that all sidecars have in common.
+func (c *measurement) buildConfig() error {
 	settings := c.run.Plan.Settings(0)
 	settings["tenants"] = []map[string]any{{"name": testbed.Tenant, "share": 1.0, "allowance_per_s": 1e6}}
 	settings["peers_total"] = 1 + c.options.IdleMembers
 	list := agent.List{All: true}
 	for i := range c.servers {
-		list.Targets = append(list.Targets, c.entry(i))
+		list.Targets = append(list.Targets, c.listEntry(i))
 	}
 	discovery := ""
 	if c.registry != nil {
@@ -302,10 +302,10 @@
 		if err != nil {
 			return err
 		}
-		c.seeds = append(c.seeds, addr)
+		c.fleetSeeds = append(c.fleetSeeds, addr)
 	}
-	for i, bind := range c.seeds {
-		if _, err := c.sidecars.Launch(ctx, fmt.Sprint("idle-", i), v.Program, membersSection(bind, c.seeds)); err != nil {
+	for i, bind := range c.fleetSeeds {
+		if _, err := c.sidecars.Launch(ctx, fmt.Sprint("idle-", i), v.Program, membersSection(bind, c.fleetSeeds)); err != nil {
 			return fmt.Errorf("idle member: %w", err)
 		}
 	}
--- a/internal/lab/experiment/requestcost/requestcost_test.go
+++ b/internal/lab/experiment/requestcost/requestcost_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func quickCost(variants ...Variant) Options {
+func quickOptions(variants ...Variant) Options {
 	for i := range variants {
 		variants[i].Program = programs.Sidecar
 	}
@@ -22,7 +22,7 @@
 // Two equal variants, one in a closed loop and at a rate: the measurement ends with a ratio and its interval.
 func TestMeasure_equalVariants(t *testing.T) {
 	for _, rate := range []float64{0, 200} {
-		o := quickCost(Variant{Name: "a"}, Variant{Name: "b",
+		o := quickOptions(Variant{Name: "a"}, Variant{Name: "b",
 			ConfigPatches: []json.RawMessage{[]byte(`{"list_doubt_share":0.5}`)}})
 		o.Rate = rate
 		r, err := Measure(t.Context(), o)
@@ -40,7 +40,7 @@
 // Requests follow a route from real copies of the list service. The second measurement has a sidecar without routes and
 // fails.
 func TestMeasure_routes(t *testing.T) {
-	o := quickCost(Variant{Name: "plain"}, Variant{Name: "routes", WithRoutes: true})
+	o := quickOptions(Variant{Name: "plain"}, Variant{Name: "routes", WithRoutes: true})
 	r, err := Measure(t.Context(), o)
 	require.NoError(t, err)
 	assert.NotNil(t, r.Variants[1].Ratio)
@@ -52,7 +52,7 @@
 
 // A sidecar is measured once it has joined its fleet. The second measurement has a sidecar of another fleet and fails.
 func TestMeasure_fleet(t *testing.T) {
-	o := quickCost(Variant{Name: "plain"}, Variant{Name: "members", WithMembers: true})
+	o := quickOptions(Variant{Name: "plain"}, Variant{Name: "members", WithMembers: true})
 	o.IdleMembers = 2
 	_, err := Measure(t.Context(), o)
 	require.NoError(t, err)
@@ -64,8 +64,8 @@
 
 func TestMeasure_invalid(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(*Options)
-		says  string
+		modify  func(*Options)
+		wantErr string
 	}{
 		"refused": {func(o *Options) {
 			o.Variants[1].ConfigPatches = []json.RawMessage{[]byte(`{"settings":{"tenants":[{"name":"other","share":1}]}}`)}
@@ -78,11 +78,11 @@
 		"no others": {func(o *Options) { o.Variants[1].WithMembers = true }, "variant b: a fleet"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := quickCost(Variant{Name: "a"}, Variant{Name: "b"})
+			o := quickOptions(Variant{Name: "a"}, Variant{Name: "b"})
 			o.Rate = 200
-			c.spoil(&o)
+			c.modify(&o)
 			_, err := Measure(t.Context(), o)
-			assert.ErrorContains(t, err, c.says)
+			assert.ErrorContains(t, err, c.wantErr)
 		})
 	}
 }
@@ -93,7 +93,7 @@
 	for _, cpu := range []float64{10, 50, 20, 90} {
 		a, b = append(a, Round{CPU: cpu}), append(b, Round{CPU: 1.1 * cpu})
 	}
-	o := quickCost(Variant{Name: "a"}, Variant{Name: "b"})
+	o := quickOptions(Variant{Name: "a"}, Variant{Name: "b"})
 	r := summarize(&o, 0, [][]Round{a, b})
 	assert.InDelta(t, 35, r.Variants[0].CPU, 1e-9)
 	assert.InDelta(t, 1.1, r.Variants[1].Ratio.Low, 1e-9)
--- a/internal/lab/experiment/requestcost/round.go
+++ b/internal/lab/experiment/requestcost/round.go
@@ -26,7 +26,7 @@
 
 	cpuUsed, drivenTime time.Duration // in the slices so far
 	received, routed    int64         // requests at the servers, and those of them along the route
-	reason              string        // of a failure
+	failureReason       string        // of a failure
 }
 
 // wrapError names the variant in an error.
@@ -37,8 +37,8 @@
 	return fmt.Errorf("%s: %w", d.variant.Name, err)
 }
 
-// playRound starts each variant once and measures all of them beside each other.
-func (c *measurement) playRound(ctx context.Context, k int) ([]Round, error) {
+// runRound starts each variant once and measures all of them beside each other.
+func (c *measurement) runRound(ctx context.Context, k int) ([]Round, error) {
 	all := make([]*variantRun, len(c.options.Variants))
 	defer func() {
 		for _, d := range all {
@@ -99,7 +99,7 @@
 		patches = append(patches, map[string]any{"routes": map[string]any{"addrs": c.registry.Addrs(0)}})
 	}
 	if v.WithMembers {
-		patches = append(patches, membersSection("127.0.0.1:0", c.seeds))
+		patches = append(patches, membersSection("127.0.0.1:0", c.fleetSeeds))
 	}
 	for _, patch := range v.ConfigPatches {
 		patches = append(patches, patch)
@@ -183,7 +183,7 @@
 	d.cpuUsed, d.drivenTime = d.cpuUsed+after-before, d.drivenTime+done.Duration
 	d.Requests, d.Failed = d.Requests+done.Sent, d.Failed+done.Failed
 	if done.Reason != "" {
-		d.reason = done.Reason
+		d.failureReason = done.Reason
 	}
 	for _, s := range c.servers {
 		d.received += s.received.Load()
@@ -205,7 +205,7 @@
 	case d.Requests == 0:
 		return d.Round, errors.New("no request was sent")
 	case float64(d.Failed) > maxFailedFraction*float64(d.Requests):
-		return d.Round, fmt.Errorf("%d of %d requests failed, such as: %s", d.Failed, d.Requests, d.reason)
+		return d.Round, fmt.Errorf("%d of %d requests failed, such as: %s", d.Failed, d.Requests, d.failureReason)
 	case d.variant.WithRoutes && d.routedFraction() < minRoutedFraction:
 		return d.Round, fmt.Errorf("%.1f %% of the requests went along the route, %.0f %% have to", 100*d.routedFraction(),
 			100*minRoutedFraction)
@@ -219,7 +219,7 @@
 func (c *measurement) awaitFleet(ctx context.Context, management string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.options.settleTimeout)
 	defer cancel()
-	want := 1 + len(c.seeds)
+	want := 1 + len(c.fleetSeeds)
 	client := &view.Client{}
 	var last *membership.Report
 	for {
--- a/internal/lab/experiment/requestcost/server.go
+++ b/internal/lab/experiment/requestcost/server.go
@@ -38,13 +38,13 @@
 		return nil, fmt.Errorf("server: %w", err)
 	}
 	s := &server{addr: l.Addr().String(), inSubset: inSubset, done: make(chan struct{})}
-	answer := []byte(strings.Repeat("x", 256))
+	body := []byte(strings.Repeat("x", 256))
 	s.http = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.received.Add(1)
 		if r.Header.Get("X-Route-Rev") != "" {
 			s.routed.Add(1)
 		}
-		_, _ = w.Write(answer) // fails if the sidecar has ended
+		_, _ = w.Write(body) // fails if the sidecar has ended
 	})}
 	go func() {
 		defer close(s.done)
--- a/internal/lab/experiment/requestcost/summary.go
+++ b/internal/lab/experiment/requestcost/summary.go
@@ -53,12 +53,12 @@
 }
 
 // studentQuantile returns the 97.5 % quantile of Student's t distribution, with an error below 0.003.
-func studentQuantile(freedom int) float64 {
-	if small := []float64{12.706, 4.303, 3.182, 2.776}; freedom <= len(small) {
-		return small[freedom-1]
+func studentQuantile(degreesOfFreedom int) float64 {
+	if small := []float64{12.706, 4.303, 3.182, 2.776}; degreesOfFreedom <= len(small) {
+		return small[degreesOfFreedom-1]
 	}
 	const z = 1.959964
-	n := float64(freedom)
+	n := float64(degreesOfFreedom)
 	// The Cornish-Fisher expansion at z, the quantile of the normal distribution.
 	return z + (math.Pow(z, 3)+z)/(4*n) + (5*math.Pow(z, 5)+16*math.Pow(z, 3)+3*z)/(96*n*n) +
 		(3*math.Pow(z, 7)+19*math.Pow(z, 5)+17*math.Pow(z, 3)-15*z)/(384*n*n*n)
--- a/internal/lab/experiment/routescale/fleet.go
+++ b/internal/lab/experiment/routescale/fleet.go
@@ -32,7 +32,7 @@
 type fleet struct {
 	run      *harness.Run
 	registry *testbed.Registry
-	play     *playState
+	shared   *sharedState
 	sidecars []*simulatedSidecar
 
 	stopSidecars context.CancelFunc
@@ -50,16 +50,16 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{run: r, registry: testbed.NewRegistry(r), play: &playState{start: time.Now()}}
-	if err := f.start(ctx); err != nil {
+	f := &fleet{run: r, registry: testbed.NewRegistry(r), shared: &sharedState{start: time.Now()}}
+	if err := f.startReplicas(ctx); err != nil {
 		f.close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// start starts the copies and lists the servers: a canary without a ready server is paused.
-func (f *fleet) start(ctx context.Context) error {
+// startReplicas starts the copies and lists the servers: a canary without a ready server is paused.
+func (f *fleet) startReplicas(ctx context.Context) error {
 	if err := f.registry.Start(ctx); err != nil {
 		return err
 	}
@@ -82,11 +82,11 @@
 	f.run.Close()
 }
 
-// join starts n sidecars. Their watches are spread over the copies, as those of sidecars of several zones are.
-func (f *fleet) join(ctx context.Context, n int) error {
+// startSidecars starts n sidecars. Their watches are spread over the copies, as those of sidecars of several zones are.
+func (f *fleet) startSidecars(ctx context.Context, n int) error {
 	ctx, f.stopSidecars = context.WithCancel(ctx)
 	for i := range n {
-		p := &simulatedSidecar{wake: make(chan struct{}, 1), play: f.play, actedAt: map[int64]time.Duration{}}
+		p := &simulatedSidecar{wake: make(chan struct{}, 1), shared: f.shared, actedAt: map[int64]time.Duration{}}
 		var err error
 		p.client, err = routeclient.New(routeclient.Config{Addrs: f.registry.Addrs(i), Name: fmt.Sprint("n", i),
 			Start: time.Now().UnixNano(), Version: "lab", Schemas: []int{1, 2}, Log: slog.New(slog.DiscardHandler),
@@ -139,7 +139,7 @@
 }
 
 func (f *fleet) resourceUse(ctx context.Context) (resourceUse, error) {
-	u := resourceUse{at: f.play.now()}
+	u := resourceUse{at: f.shared.now()}
 	var t syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &t); err != nil {
 		return u, err
@@ -212,7 +212,7 @@
 // measureCommits changes the tenant's base repeatedly and measures until all sidecars act on the change.
 func (f *fleet) measureCommits(ctx context.Context, p *Point) error {
 	var delays []time.Duration
-	for i := range commitCount + 1 {
+	for i := range changeCount + 1 {
 		to := ""
 		if i%2 == 0 {
 			to = "new"
@@ -226,7 +226,7 @@
 			return err
 		}
 		if i > 0 { // the first includes the joining of the sidecars
-			delays = append(delays, last-called.Sub(f.play.start))
+			delays = append(delays, last-called.Sub(f.shared.start))
 		}
 		if !harness.Sleep(ctx, 200*time.Millisecond) {
 			return ctx.Err()
@@ -251,7 +251,7 @@
 	if err != nil {
 		return err
 	}
-	f.play.canaryBusy.Store(true)
+	f.shared.sendToCanary.Store(true)
 	ctx, cancel := context.WithTimeout(ctx, overspendTimeout)
 	defer cancel()
 	baselineSpentAt, err := f.awaitBudgetsSpent(ctx)
@@ -263,15 +263,15 @@
 		return err
 	}
 	harness.Sleep(ctx, 10*meanRequestTime) // for the attempts under way
-	f.play.canaryBusy.Store(false)
+	f.shared.sendToCanary.Store(false)
 	after, err := f.resourceUse(ctx)
 	if err != nil {
 		return err
 	}
-	budgetSpentAt := time.Duration(f.play.budgetSpentAt.Load())
+	budgetSpentAt := time.Duration(f.shared.budgetSpentAt.Load())
 	p.DiskWritesBusy = (after.diskWrites - before.diskWrites) / (after.at - before.at).Seconds()
-	p.Failures, p.Attempts = f.play.canaryFailures.Load(), f.play.canaryAttempts.Load()
-	p.LastAttemptAfter = nonNegativeMS(time.Duration(f.play.lastAttemptAt.Load()) - budgetSpentAt)
+	p.Failures, p.Attempts = f.shared.canaryFailures.Load(), f.shared.canaryAttempts.Load()
+	p.LastAttemptAfter = nonNegativeMS(time.Duration(f.shared.lastAttemptAt.Load()) - budgetSpentAt)
 	p.RollbackAfter = nonNegativeMS(rolledBackAt - budgetSpentAt)
 	for _, sidecar := range f.sidecars {
 		p.BaselineFailures += sidecar.baseline.failures.Load()
@@ -286,9 +286,9 @@
 // when its failures reached the budget.
 func (f *fleet) awaitBudgetsSpent(ctx context.Context) (baselineSpentAt time.Duration, err error) {
 	stopped := false
-	for lastSum := f.play.now(); !stopped || f.play.budgetSpentAt.Load() == 0; {
+	for lastSum := f.shared.now(); !stopped || f.shared.budgetSpentAt.Load() == 0; {
 		if !harness.Sleep(ctx, time.Millisecond) {
-			return 0, fmt.Errorf("after a minute %d of %d units are spent", f.play.canaryFailures.Load(), failureBudget)
+			return 0, fmt.Errorf("after a minute %d of %d units are spent", f.shared.canaryFailures.Load(), failureBudget)
 		}
 		failures := int64(0)
 		for _, sidecar := range f.sidecars {
@@ -296,13 +296,13 @@
 		}
 		spent := failures >= failureBudget
 		if spent && baselineSpentAt == 0 {
-			baselineSpentAt = f.play.now()
+			baselineSpentAt = f.shared.now()
 		}
-		if now := f.play.now(); now-lastSum >= baselineSumInterval {
+		if now := f.shared.now(); now-lastSum >= baselineSumInterval {
 			lastSum = now
 			if spent && !stopped {
 				stopped = true
-				f.play.baselineStopped.Store(true)
+				f.shared.baselineStopped.Store(true)
 			}
 		}
 	}
--- a/internal/lab/experiment/routescale/routescale.go
+++ b/internal/lab/experiment/routescale/routescale.go
@@ -16,7 +16,7 @@
 
 	"marblelane/balance"
 	"marblelane/internal/lab/harness"
-	plays "marblelane/internal/rollout/model"
+	rolloutmodel "marblelane/internal/rollout/model"
 	"marblelane/internal/route"
 	"marblelane/internal/routeclient"
 )
@@ -46,7 +46,7 @@
 
 // The parameters of the measurement.
 const (
-	commitCount         = 20
+	changeCount         = 20
 	idleWindow          = 5 * time.Second
 	failureBudget       = 100
 	canaryFailureRate   = 0.2 // of attempts to the canary
@@ -92,7 +92,7 @@
 type simulatedSidecar struct {
 	client *routeclient.Client
 	wake   chan struct{}
-	play   *playState
+	shared *sharedState
 
 	mu        sync.Mutex
 	actedAt   map[int64]time.Duration // when it first acted on each revision
@@ -107,10 +107,10 @@
 	}
 }
 
-// playState is what all sidecars of a measurement share. Times count from its start.
-type playState struct {
+// sharedState is what all sidecars of a measurement share. Times count from its start.
+type sharedState struct {
 	start           time.Time
-	canaryBusy      atomic.Bool  // sidecars send attempts to the canary
+	sendToCanary    atomic.Bool  // sidecars send attempts to the canary
 	canaryFailures  atomic.Int64 // failed attempts to the canary
 	canaryAttempts  atomic.Int64
 	lastAttemptAt   atomic.Int64 // start of the last attempt to the canary
@@ -118,7 +118,7 @@
 	baselineStopped atomic.Bool  // the baseline has seen its budget spent
 }
 
-func (c *playState) now() time.Duration { return time.Since(c.start) }
+func (c *sharedState) now() time.Duration { return time.Since(c.start) }
 
 // wakeUp tells the loop that the client has an update.
 func (p *simulatedSidecar) wakeUp() {
@@ -148,7 +148,7 @@
 			p.offerSample(false)
 		case <-next.C:
 			next.Reset(time.Duration(rng.ExpFloat64() / attemptsPerSecond * float64(time.Second)))
-			if p.play.canaryBusy.Load() {
+			if p.shared.sendToCanary.Load() {
 				fails := rng.Float64() < canaryFailureRate
 				duration := time.Duration(rng.ExpFloat64() * float64(meanRequestTime))
 				p.attempt(fails, duration)
@@ -172,7 +172,7 @@
 			}
 		}
 		p.client.SetActingRev(t.Rev)
-		p.actedAt[t.Rev] = p.play.now()
+		p.actedAt[t.Rev] = p.shared.now()
 	}
 	for _, g := range update.Grants {
 		p.budget.Grant(g.Granted, g.MaxIdle)
@@ -199,8 +199,8 @@
 // attempt simulates a request to the canary. The sidecar sends it only if it can reserve a unit of the budget, the baseline
 // in any case until it is stopped.
 func (p *simulatedSidecar) attempt(fails bool, duration time.Duration) {
-	if !p.play.baselineStopped.Load() {
-		p.baseline.lastAttemptAt.Store(int64(p.play.now()))
+	if !p.shared.baselineStopped.Load() {
+		p.baseline.lastAttemptAt.Store(int64(p.shared.now()))
 		if fails {
 			time.AfterFunc(duration, func() { p.baseline.failures.Add(1) })
 		}
@@ -224,15 +224,15 @@
 		p.mu.Unlock()
 		return
 	}
-	p.play.canaryAttempts.Add(1)
-	p.play.lastAttemptAt.Store(int64(p.play.now()))
+	p.shared.canaryAttempts.Add(1)
+	p.shared.lastAttemptAt.Store(int64(p.shared.now()))
 	time.AfterFunc(duration, func() { p.complete(rev, tenant, fails) })
 }
 
 // complete ends an attempt to the canary.
 func (p *simulatedSidecar) complete(rev int64, tenant string, fails bool) {
-	if fails && p.play.canaryFailures.Add(1) == failureBudget {
-		p.play.budgetSpentAt.Store(int64(p.play.now()))
+	if fails && p.shared.canaryFailures.Add(1) == failureBudget {
+		p.shared.budgetSpentAt.Store(int64(p.shared.now()))
 	}
 	p.mu.Lock()
 	p.budget.Settle(fails)
@@ -253,7 +253,7 @@
 		return nil, err
 	}
 	defer f.close()
-	p := &Point{Sidecars: n, Commits: commitCount, Budget: failureBudget}
+	p := &Point{Sidecars: n, Commits: changeCount, Budget: failureBudget}
 	before, after, err := f.measureIdle(ctx, idleWindow)
 	if err != nil {
 		return nil, err
@@ -261,7 +261,7 @@
 	seconds := (after.at - before.at).Seconds()
 	bytesNoSidecars := (after.bytes - before.bytes) / seconds
 	p.DiskWritesNoSidecars = (after.diskWrites - before.diskWrites) / seconds
-	if err := f.join(ctx, n); err != nil {
+	if err := f.startSidecars(ctx, n); err != nil {
 		return nil, err
 	}
 	if err := f.measureCommits(ctx, p); err != nil {
@@ -279,11 +279,11 @@
 }
 
 // Simulate plays the spent budget on a simulated clock, for fleets that are too large for the machine.
-func Simulate(sidecars int) (*plays.Result, error) {
-	o := plays.Defaults()
+func Simulate(sidecars int) (*rolloutmodel.Result, error) {
+	o := rolloutmodel.Defaults()
 	o.Sidecars, o.Budget, o.CanaryFailureRate = sidecars, failureBudget, canaryFailureRate
 	o.Controller.Alpha = 1e-100 // the budget decides, as in the measured fleets, which have no base version
-	r, err := plays.Simulate(o)
+	r, err := rolloutmodel.Simulate(o)
 	if err != nil {
 		return nil, fmt.Errorf("%d simulated sidecars: %w", sidecars, err)
 	}
@@ -291,7 +291,7 @@
 }
 
 // PrintSimulation writes the result of a simulated fleet.
-func PrintSimulation(w io.Writer, sidecars int, r *plays.Result) {
+func PrintSimulation(w io.Writer, sidecars int, r *rolloutmodel.Result) {
 	fmt.Fprintf(w, "%d simulated: %d attempts, %d failures of a budget of %d, the last attempt %d ms after the last unit; all act on the rollback %d ms after it;"+
 		" the baseline %d failures, its last attempt %d ms after; %.1f ledger commands a second\n", sidecars, r.Attempts, r.Failures, r.Budget,
 		max(r.LastAttempt-r.LastUnitSpent, 0), r.CanaryStopped-r.LastUnitSpent, r.BaselineFailures, max(r.BaselineLastAttempt-r.BaselineLastUnit, 0), r.LedgerPerSecond)
