--- a/internal/lab/experiment/compare/compare.go
+++ b/internal/lab/experiment/compare/compare.go
@@ -1,6 +1,6 @@
-// Package compare compares two sides, each a scenario and a sidecar program, on the same seeds. It plays both sides of each
-// seed in turn and gives the mean, the differences paired by seed and their spread for each figure. The command is
-// `marblelane lab compare`.
+// Package compare compares two sides, each a scenario and a sidecar program, on the same seeds. It runs both sides on
+// each seed, one after the other, and reports the mean of each figure, its differences paired by seed and their spread.
+// The command is `marblelane lab compare`.
 package compare
 
 import (
@@ -23,55 +23,54 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// Side is one of two things that are compared: a scenario and the program that it is played with.
+// Side is one side of a comparison: a scenario and the sidecar program that it runs with.
 type Side struct {
 	Name     string
 	Scenario *scenario.Scenario
-	Program  string
+	Program  string // path of the sidecar's executable
 }
 
-// Comparison is the result of two sides played in turn on the same seeds.
+// Comparison is the result of running two sides on the same seeds.
 type Comparison struct {
 	A        string   `json:"a"`
 	B        string   `json:"b"`
 	Seeds    []uint64 `json:"seeds"`
 	Pairs    []Pair   `json:"pairs"`
 	Rows     []Row    `json:"figures"`
-	BrokenA  int      `json:"rules_broken_a"` // plays that broke a rule
-	BrokenB  int      `json:"rules_broken_b"`
-	LateRuns int      `json:"late"` // plays that did not count and were played again
+	BrokenA  int      `json:"rules_broken_a"` // runs of A that broke an invariant
+	BrokenB  int      `json:"rules_broken_b"` // runs of B that broke an invariant
+	LateRuns int      `json:"late"`           // runs that were discarded because the lab was late
 }
 
-// Pair has the figures of both sides on one seed.
+// Pair has the figures of both sides on one seed. CPU and RSS are indexed by side.
 type Pair struct {
 	Seed uint64          `json:"seed"`
 	A    measure.Figures `json:"a"`
 	B    measure.Figures `json:"b"`
-	CPU  [2]float64      `json:"cpu_s"` // of all sidecars together
-	RSS  [2]float64      `json:"peak_rss_mb"`
+	CPU  [2]float64      `json:"cpu_s"`       // CPU seconds of all sidecars together
+	RSS  [2]float64      `json:"peak_rss_mb"` // largest peak of a sidecar, in MiB
 }
 
-// Row is one figure over all pairs. Differences are paired by seed. Spread is their standard deviation, Error the standard
-// error of their mean.
+// Row summarizes one figure over all pairs. The differences, B - A, are paired by seed.
 type Row struct {
-	Name   string  `json:"name"`
-	A      float64 `json:"a"`
-	B      float64 `json:"b"`
-	Diff   float64 `json:"difference"`
-	Spread float64 `json:"spread"`
-	Error  float64 `json:"standard_error"`
-	Min    float64 `json:"least"`
-	Max    float64 `json:"most"`
-	diffs  []float64
+	Name   string    `json:"name"`
+	A      float64   `json:"a"`              // mean of side A
+	B      float64   `json:"b"`              // mean of side B
+	Diff   float64   `json:"difference"`     // mean difference
+	Spread float64   `json:"spread"`         // standard deviation of the differences, 0 for one pair
+	Error  float64   `json:"standard_error"` // standard error of Diff, 0 for one pair
+	Min    float64   `json:"least"`          // smallest difference
+	Max    float64   `json:"most"`           // largest difference
+	diffs  []float64 // by pair
 }
 
-// maxLateRuns is the number of late plays of a side and seed after which the comparison fails.
+// maxLateRuns is the number of late runs of a side on a seed after which the comparison fails.
 const maxLateRuns = 3
 
-var errLabLate = errors.New("the machine is too busy: the lab was late again and again")
+var errLabLate = errors.New("lab was late in every run: the machine is too busy")
 
-// Run plays both sides on a number of consecutive seeds. The sides take turns in going first, so that a change of the
-// machine's load favours neither.
+// Run runs both sides on consecutive seeds, beginning with first. The sides take turns in going first, so that a change
+// of the machine's load favours neither. A run in which the lab was late is repeated with the same seed.
 func Run(ctx context.Context, a, b Side, first uint64, runs int, o harness.Options) (*Comparison, error) {
 	c := &Comparison{A: a.Name, B: b.Name}
 	sides := [2]Side{a, b}
@@ -86,7 +85,7 @@
 				return nil, fmt.Errorf("%s, seed %d: %w", sides[side].Name, pair.Seed, err)
 			}
 			if o.Progress != nil {
-				fmt.Fprintf(o.Progress, "play %d of %d, seed %d, %s: %.2f%% in aim\n", k+1, runs, pair.Seed,
+				fmt.Fprintf(o.Progress, "run %d of %d, seed %d, %s: %.2f%% in aim\n", k+1, runs, pair.Seed,
 					sides[side].Name, 100*pair.figures(side).InObjective)
 			}
 		}
@@ -97,7 +96,7 @@
 	return c, nil
 }
 
-// runSide plays one side of a pair and keeps its figures; side is its number.
+// runSide runs side s of a pair and stores its figures in the pair. side is its number: 0 for A, 1 for B.
 func (c *Comparison) runSide(ctx context.Context, s Side, side int, pair *Pair, o harness.Options) error {
 	completed, late, err := runUntilOnTime(ctx, s, pair.Seed, o)
 	c.LateRuns += late
@@ -119,7 +118,8 @@
 	return nil
 }
 
-// runUntilOnTime plays a side until the lab was not late. It also returns the number of late plays.
+// runUntilOnTime runs a side until the lab was not late, at most maxLateRuns times. It also returns the number of late
+// runs.
 func runUntilOnTime(ctx context.Context, side Side, seed uint64, o harness.Options) (*report.Report, int, error) {
 	for late := range maxLateRuns {
 		o := o
@@ -138,7 +138,7 @@
 	return nil, maxLateRuns, errLabLate
 }
 
-// comparedFigures are the rows of a comparison, in their order.
+// comparedFigures are the figures of a comparison, in the order of its rows.
 var comparedFigures = []struct {
 	name string
 	of   func(p *Pair, side int) float64
@@ -157,7 +157,7 @@
 	{"peak RSS MB", func(p *Pair, s int) float64 { return p.RSS[s] }},
 }
 
-// computeRows works out the rows from the pairs.
+// computeRows computes the rows from the pairs.
 func (c *Comparison) computeRows() {
 	for _, figure := range comparedFigures {
 		r := Row{Name: figure.name, Min: math.Inf(1), Max: math.Inf(-1)}
@@ -179,7 +179,7 @@
 	}
 }
 
-// figures returns the figures of the side of this number.
+// figures returns the figures of side s: 0 for A, 1 for B.
 func (p *Pair) figures(s int) *measure.Figures {
 	if s == 0 {
 		return &p.A
@@ -189,18 +189,19 @@
 
 // Print writes the comparison as a table.
 func (c *Comparison) Print(w io.Writer) {
-	fmt.Fprintf(w, "A = %s, B = %s, %d plays each, seeds %d to %d\n\n", c.A, c.B, len(c.Pairs), c.Seeds[0], c.Seeds[len(c.Seeds)-1])
+	fmt.Fprintf(w, "A = %s, B = %s, %d runs each, seeds %d to %d\n\n", c.A, c.B, len(c.Pairs), c.Seeds[0], c.Seeds[len(c.Seeds)-1])
 	fmt.Fprintf(w, "%-18s %10s %10s %10s %10s %22s\n", "mean of", "A", "B", "B - A", "spread", "least .. most")
 	for _, r := range c.Rows {
 		fmt.Fprintf(w, "%-18s %10.4f %10.4f %+10.4f %10.4f %+10.4f .. %+.4f\n", r.Name, r.A, r.B, r.Diff, r.Spread, r.Min, r.Max)
 	}
-	fmt.Fprintf(w, "\nplays with a broken rule: A %d, B %d; plays that did not count, as the lab was late: %d\n", c.BrokenA, c.BrokenB, c.LateRuns)
+	fmt.Fprintf(w, "\nruns that broke an invariant: A %d, B %d; runs discarded because the lab was late: %d\n", c.BrokenA, c.BrokenB, c.LateRuns)
 }
 
-// Plot draws the difference of each seed for the shares, as PNG and SVG.
+// Plot writes compare.png and compare.svg to dir: the differences of the first four figures, one point per seed, with
+// their mean.
 func (c *Comparison) Plot(dir string) error {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s minus %s, one point a seed", c.B, c.A)
+	p.Title.Text = fmt.Sprintf("%s minus %s, one point per seed", c.B, c.A)
 	var names []string
 	for i, r := range c.Rows[:4] {
 		points := make(plotter.XYs, len(r.diffs))
--- a/internal/lab/experiment/compare/compare_test.go
+++ b/internal/lab/experiment/compare/compare_test.go
@@ -13,7 +13,7 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// The real programs, built once for all tests.
+// programs are the real programs, built once for all tests.
 var programs labtest.Programs
 
 func TestMain(m *testing.M) { os.Exit(labtest.Run(m, &programs)) }
@@ -47,7 +47,8 @@
 	return Side{Name: name, Scenario: s, Program: programs.Sidecar}
 }
 
-// A comparison pairs plays by seed and finds what is different.
+// A comparison pairs runs by seed. With a side whose servers all fail, it shows the difference in requests served in
+// time.
 func TestRun_findsTheDifference(t *testing.T) {
 	sound, bad := side(t, "sound", smallScenario), side(t, "bad", smallScenario+allServersFail)
 	c, err := Run(t.Context(), sound, bad, 3, 2, harness.Options{})
@@ -58,16 +59,16 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(c.Seeds, []uint64{3, 4}) || len(c.Pairs) != 2 {
-		t.Errorf("pairs of seeds %v", c.Seeds)
+		t.Errorf("got %d pairs of seeds %v, want 2 of seeds 3 and 4", len(c.Pairs), c.Seeds)
 	}
 	if r := c.Rows[0]; r.Name != "in aim" || r.Diff > -0.9 || math.Abs(r.B-r.A-r.Diff) > 1e-9 || r.Min > r.Diff || r.Max < r.Diff {
-		t.Errorf("row %+v", r)
+		t.Errorf("row of requests in aim: got %+v, want a difference below -0.9", r)
 	}
 	dir := t.TempDir()
 	if err := c.Plot(dir); err != nil {
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(filepath.Join(dir, "compare.svg")); err != nil || info.Size() == 0 {
-		t.Errorf("no plot: %v", err)
+		t.Errorf("compare.svg is missing or empty: %v", err)
 	}
 }
--- a/internal/lab/experiment/requestcost/main_test.go
+++ b/internal/lab/experiment/requestcost/main_test.go
@@ -7,7 +7,7 @@
 	"marblelane/internal/lab/labtest"
 )
 
-// The real programs, built once for all tests.
+// programs are the real programs, built once for all tests.
 var programs labtest.Programs
 
 func TestMain(m *testing.M) { os.Exit(labtest.Run(m, &programs)) }
--- a/internal/lab/experiment/requestcost/requestcost.go
+++ b/internal/lab/experiment/requestcost/requestcost.go
@@ -1,5 +1,5 @@
-// Package requestcost measures the processor time that variants of a sidecar use per request, and their idle processor time
-// and memory. In each round it starts every variant anew before servers that answer at once, and sends requests to one at
+// Package requestcost measures the CPU time that variants of a sidecar use per request, and their idle CPU time and
+// memory. Each round starts every variant anew, with servers that respond at once, and sends requests to one variant at
 // a time, in short slices. The result is the ratio to a baseline in the same round, with its confidence interval. The
 // command is `marblelane lab request-cost`.
 package requestcost
@@ -27,25 +27,25 @@
 type Variant struct {
 	Name          string
 	Program       string
-	ConfigPatches []json.RawMessage // merged into its configuration in turn, as JSON merge patches (RFC 7386)
-	WithRoutes    bool              // its requests follow a route, from real copies of the list service
-	WithMembers   bool              // it is in a fleet with Options.IdleMembers idle sidecars
+	ConfigPatches []json.RawMessage // JSON merge patches (RFC 7386), applied to its configuration in order
+	WithRoutes    bool              // its requests follow a route, from real replicas of the list service
+	WithMembers   bool              // it is a member of a fleet with Options.IdleMembers idle sidecars
 }
 
-// Options are what a measurement of costs needs.
+// Options are the parameters of a measurement.
 type Options struct {
 	Variants    []Variant
-	Baseline    string // the variant that the others are compared with; empty: the first
-	Rounds      int    // at least 2
-	Length      time.Duration
-	IdleTime    time.Duration // from ready until memory is measured
-	Rate        float64       // requests a second in all; 0: closed loop, each connection sends the next one after its answer
+	Baseline    string        // name of the variant that the others are compared with; empty: the first
+	Rounds      int           // at least 2
+	Length      time.Duration // of the requests to a variant in a round
+	IdleTime    time.Duration // without requests, before memory is measured
+	Rate        float64       // total requests per second; 0: closed loop, the next request follows the response
 	Connections int
 	Servers     int
-	IdleMembers int    // idle sidecars in the fleet of variants with members
-	Self        string // the program of the list service; empty: this one
-	Dir         string // for files; empty: a temporary one, removed at the end
-	Progress    io.Writer
+	IdleMembers int       // idle sidecars in the fleet of variants with members
+	Self        string    // path of the list service's program; empty: this program
+	Dir         string    // folder for files; empty: a temporary folder, removed at the end
+	Progress    io.Writer // receives a line per variant and round; nil: none
 
 	warmUp, settleTimeout time.Duration // 0: defaultWarmUp, defaultSettleTimeout
 }
@@ -60,11 +60,11 @@
 	Variants    []VariantResult `json:"variants"`
 }
 
-// VariantResult is the cost of one variant. Each figure is the median of its rounds.
+// VariantResult is the cost of one variant. Each figure is the median of its rounds, except Ratio.
 type VariantResult struct {
 	Name      string    `json:"name"`
 	CPU       float64   `json:"cpu_us_per_request"`
-	Ratio     *Interval `json:"ratio,omitempty"` // of CPU per request to the baseline's; nil: it is the baseline
+	Ratio     *Interval `json:"ratio,omitempty"` // CPU per request over the baseline's, by round; nil for the baseline
 	PerSecond float64   `json:"requests_per_s"`
 	IdleCPU   float64   `json:"idle_cpu_us_per_s"`
 	IdleRSS   float64   `json:"idle_rss_mb"`
@@ -72,10 +72,10 @@
 	Rounds    []Round   `json:"per_round"`
 }
 
-// Round is the result of one start of a variant.
+// Round is the result of one variant in one round.
 type Round struct {
 	Requests  int64   `json:"requests"`
-	Failed    int64   `json:"failed"` // not answered with 200
+	Failed    int64   `json:"failed"` // without a response of status 200
 	CPU       float64 `json:"cpu_us_per_request"`
 	PerSecond float64 `json:"requests_per_s"`
 	IdleCPU   float64 `json:"idle_cpu_us_per_s"`
@@ -91,14 +91,14 @@
 }
 
 const (
-	defaultWarmUp        = time.Second            // of requests that are not measured
-	sliceLength          = 200 * time.Millisecond // for which a variant gets requests before the next one's turn
-	defaultSettleTimeout = 20 * time.Second
-	maxFailedFraction    = 0.01 // of the requests of a valid round
-	minRoutedFraction    = 0.99 // of the requests of a variant with routes
-	subsetName           = "near"
+	defaultWarmUp        = time.Second            // duration of the requests before the measurement
+	sliceLength          = 200 * time.Millisecond // requests go to one variant for this long, then to the next one
+	defaultSettleTimeout = 20 * time.Second       // limit for joining the fleet, and for requests to follow the route
+	maxFailedFraction    = 0.01                   // of the requests; a round with more failures is an error
+	minRoutedFraction    = 0.99                   // of the requests with a route; a round with less is an error
+	subsetName           = "near"                 // of the servers that the route selects
 	sidecarSeed          = 1
-	maxFleetSeeds        = 3
+	maxFleetSeeds        = 3 // seeds in the configuration of a fleet member
 )
 
 const scenarioText = `
@@ -128,9 +128,10 @@
 `
 
 // Measure starts each variant anew in each round and sends requests to one at a time, in slices of sliceLength.
-// It compares the processor time per request with that of the baseline in the same round. The order of the variants
-// reverses from round to round and from slice to slice, so that a change of the machine's load favours none. It is also
-// an error if a variant fails requests, if its requests do not follow the route, or if it does not join the fleet.
+// It compares the CPU time per request with that of the baseline in the same round. The order of the variants reverses
+// from round to round and from slice to slice, so that a change of the machine's load favours none. Measure fails if
+// more than maxFailedFraction of a variant's requests fail, if too few follow the route, or if it does not join the
+// fleet.
 func Measure(ctx context.Context, o Options) (*Result, error) {
 	base, err := o.validate()
 	if err != nil {
@@ -153,57 +154,57 @@
 		for i := range results {
 			rounds[i] = append(rounds[i], results[i])
 			if o.Progress != nil {
-				fmt.Fprintf(o.Progress, "round %d of %d, %s: %.1f us a request\n", k+1, o.Rounds, o.Variants[i].Name, results[i].CPU)
+				fmt.Fprintf(o.Progress, "round %d of %d, %s: %.1f us per request\n", k+1, o.Rounds, o.Variants[i].Name, results[i].CPU)
 			}
 		}
 	}
 	return summarize(&o, base, rounds), nil
 }
 
-// validate rejects invalid options and returns the number of the baseline variant.
+// validate rejects invalid options and returns the index of the baseline variant.
 func (o *Options) validate() (base int, err error) {
 	if len(o.Variants) == 0 {
-		return 0, errors.New("there is no variant")
+		return 0, errors.New("no variants")
 	}
 	named := map[string]bool{}
 	for _, v := range o.Variants {
 		if named[v.Name] || v.Name == "" || strings.Contains(v.Name, "/") {
-			return 0, fmt.Errorf("variant %q: its name is empty, not its own or has a slash", v.Name)
+			return 0, fmt.Errorf("variant %q: name is empty, used twice or contains a slash", v.Name)
 		}
 		named[v.Name] = true
 		if v.WithMembers && o.IdleMembers < 1 {
-			return 0, fmt.Errorf("variant %s: a fleet has one other member at least", v.Name)
+			return 0, fmt.Errorf("variant %s: a fleet needs at least 1 idle member", v.Name)
 		}
 	}
 	switch {
 	case o.Rounds < 2:
-		return 0, fmt.Errorf("%d rounds: two at least have a spread", o.Rounds)
+		return 0, fmt.Errorf("%d rounds: at least 2 are needed for a confidence interval", o.Rounds)
 	case o.Length <= 0 || o.IdleTime < 0 || o.Rate < 0:
-		return 0, errors.New("length is not above 0, or idle time or rate is negative")
+		return 0, errors.New("length must be above 0, idle time and rate must not be negative")
 	case o.Connections < 1 || o.Servers < 2:
-		return 0, errors.New("connections are fewer than 1, or servers fewer than 2")
+		return 0, errors.New("at least 1 connection and 2 servers are needed")
 	}
 	if o.Baseline != "" {
 		if base = slices.IndexFunc(o.Variants, func(v Variant) bool { return v.Name == o.Baseline }); base < 0 {
-			return 0, fmt.Errorf("base: there is no variant %q", o.Baseline)
+			return 0, fmt.Errorf("base: no variant %q", o.Baseline)
 		}
 	}
 	return base, nil
 }
 
-// measurement is a measurement under way.
+// measurement is a running measurement.
 type measurement struct {
 	options    Options
-	run        *harness.Run      // the plan, the folder and the supervisor of the processes
-	registry   *testbed.Registry // the list service; nil: the stand-in
-	agents     *agent.Agents     // the stand-in for the list service
+	run        *harness.Run      // plan, folder and process supervisor
+	registry   *testbed.Registry // the list service; nil without routes
+	agents     *agent.Agents     // stand-in for the list service; nil with routes
 	sidecars   *testbed.Launcher
 	servers    []*server
-	fleetSeeds []string // of the fleet
-	ids        atomic.Uint64
+	fleetSeeds []string      // addresses of the idle members
+	ids        atomic.Uint64 // last request id
 }
 
-// startEnvironment starts everything but the measured sidecars.
+// startEnvironment starts the servers, the list service or its stand-in, and the idle members.
 func (c *measurement) startEnvironment(ctx context.Context) error {
 	s, err := scenario.Parse("request-cost.toml", []byte(scenarioText))
 	if err != nil {
@@ -237,7 +238,7 @@
 	return nil
 }
 
-// startReplicas starts the list service, with all servers on its list and a route for the tenant.
+// startReplicas starts the list service, registers all servers and sets a route for the tenant.
 func (c *measurement) startReplicas(ctx context.Context) error {
 	c.registry = testbed.NewRegistry(c.run)
 	if err := c.registry.Start(ctx); err != nil {
@@ -273,7 +274,7 @@
 	return e
 }
 
-// buildConfig makes the configuration that all sidecars have in common.
+// buildConfig builds the configuration that all sidecars share.
 func (c *measurement) buildConfig() error {
 	settings := c.run.Plan.Settings(0)
 	settings["tenants"] = []map[string]any{{"name": testbed.Tenant, "share": 1.0, "allowance_per_s": 1e6}}
@@ -295,7 +296,7 @@
 	return err
 }
 
-// startMembers starts the idle sidecars of the fleet.
+// startMembers starts the idle members of the fleet with the program of variant v.
 func (c *measurement) startMembers(ctx context.Context, v *Variant) error {
 	for range c.options.IdleMembers {
 		addr, err := c.run.ReserveAddr("127.0.0.1")
@@ -306,13 +307,13 @@
 	}
 	for i, bind := range c.fleetSeeds {
 		if _, err := c.sidecars.Launch(ctx, fmt.Sprint("idle-", i), v.Program, membersSection(bind, c.fleetSeeds)); err != nil {
-			return fmt.Errorf("idle member: %w", err)
+			return fmt.Errorf("start idle member: %w", err)
 		}
 	}
 	return nil
 }
 
-// membersSection is the configuration of a member of the fleet, with at most maxFleetSeeds seeds.
+// membersSection returns the members section of a sidecar's configuration, with at most maxFleetSeeds seeds.
 func membersSection(bind string, seeds []string) any {
 	return map[string]any{"members": map[string]any{"fleet": "request-cost", "bind": bind,
 		"seeds": seeds[:min(len(seeds), maxFleetSeeds)]}}
--- a/internal/lab/experiment/requestcost/requestcost_test.go
+++ b/internal/lab/experiment/requestcost/requestcost_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// quickOptions returns the options of a short measurement of the real sidecar.
 func quickOptions(variants ...Variant) Options {
 	for i := range variants {
 		variants[i].Program = programs.Sidecar
@@ -19,7 +20,7 @@
 		Self: programs.Marblelane, warmUp: 100 * time.Millisecond}
 }
 
-// Two equal variants, one in a closed loop and at a rate: the measurement ends with a ratio and its interval.
+// Two variants of the same program, in a closed loop and at a rate: the result has a ratio with its interval.
 func TestMeasure_equalVariants(t *testing.T) {
 	for _, rate := range []float64{0, 200} {
 		o := quickOptions(Variant{Name: "a"}, Variant{Name: "b",
@@ -37,8 +38,8 @@
 	}
 }
 
-// Requests follow a route from real copies of the list service. The second measurement has a sidecar without routes and
-// fails.
+// Requests follow a route from real replicas of the list service. The second measurement fails, as its sidecar has no
+// routes.
 func TestMeasure_routes(t *testing.T) {
 	o := quickOptions(Variant{Name: "plain"}, Variant{Name: "routes", WithRoutes: true})
 	r, err := Measure(t.Context(), o)
@@ -47,10 +48,11 @@
 	o.Variants[1].ConfigPatches = []json.RawMessage{[]byte(`{"routes":null}`)}
 	o.settleTimeout = time.Nanosecond
 	_, err = Measure(t.Context(), o)
-	assert.ErrorContains(t, err, "routes: after 1ns 0.0 % of its requests go along the route")
+	assert.ErrorContains(t, err, "routes: after 1ns, 0.0 % of the requests follow the route")
 }
 
-// A sidecar is measured once it has joined its fleet. The second measurement has a sidecar of another fleet and fails.
+// A sidecar is measured after it has joined its fleet. The second measurement fails, as its sidecar is of another
+// fleet.
 func TestMeasure_fleet(t *testing.T) {
 	o := quickOptions(Variant{Name: "plain"}, Variant{Name: "members", WithMembers: true})
 	o.IdleMembers = 2
@@ -59,7 +61,7 @@
 	o.Variants[1].ConfigPatches = []json.RawMessage{[]byte(`{"members":{"fleet":"another"}}`)}
 	o.settleTimeout = 100 * time.Millisecond
 	_, err = Measure(t.Context(), o)
-	assert.ErrorContains(t, err, "members: it is not in the fleet of 3")
+	assert.ErrorContains(t, err, "members: join the fleet of 3: ")
 }
 
 func TestMeasure_invalid(t *testing.T) {
@@ -67,15 +69,15 @@
 		modify  func(*Options)
 		wantErr string
 	}{
-		"refused": {func(o *Options) {
+		"requests fail": {func(o *Options) {
 			o.Variants[1].ConfigPatches = []json.RawMessage{[]byte(`{"settings":{"tenants":[{"name":"other","share":1}]}}`)}
 		}, " requests failed, such as: 400"},
 		"does not start": {func(o *Options) { o.Variants[1].ConfigPatches = []json.RawMessage{[]byte(`{"seed":"x"}`)} },
 			"b: measured-b did not start"},
-		"same name": {func(o *Options) { o.Variants[1].Name = "a" }, `variant "a"`},
-		"no base":   {func(o *Options) { o.Baseline = "c" }, `no variant "c"`},
-		"one round": {func(o *Options) { o.Rounds = 1 }, "1 rounds"},
-		"no others": {func(o *Options) { o.Variants[1].WithMembers = true }, "variant b: a fleet"},
+		"same name":       {func(o *Options) { o.Variants[1].Name = "a" }, `variant "a"`},
+		"unknown base":    {func(o *Options) { o.Baseline = "c" }, `no variant "c"`},
+		"one round":       {func(o *Options) { o.Rounds = 1 }, "1 rounds"},
+		"no idle members": {func(o *Options) { o.Variants[1].WithMembers = true }, "variant b: a fleet"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := quickOptions(Variant{Name: "a"}, Variant{Name: "b"})
@@ -87,7 +89,7 @@
 	}
 }
 
-// The ratio is that of pairs in a round: it does not depend on what differs between rounds.
+// The ratio is computed from pairs in the same round, so that differences between rounds do not affect it.
 func TestSummarize_ratioOfPairs(t *testing.T) {
 	var a, b []Round
 	for _, cpu := range []float64{10, 50, 20, 90} {
--- a/internal/lab/experiment/requestcost/round.go
+++ b/internal/lab/experiment/requestcost/round.go
@@ -1,6 +1,6 @@
 package requestcost
 
-// This file measures one round of each variant.
+// This file runs one round: it starts all variants and measures them.
 
 import (
 	"context"
@@ -16,20 +16,20 @@
 	"marblelane/internal/membership/view"
 )
 
-// variantRun is one start of a variant.
+// variantRun is one variant in one round.
 type variantRun struct {
 	variant      *Variant
 	sidecar      *testbed.Sidecar
 	load         *testbed.Load
-	idleStartCPU time.Duration // processor time at the start of the idle measurement
+	idleStartCPU time.Duration // CPU time at the start of the idle measurement
 	Round
 
-	cpuUsed, drivenTime time.Duration // in the slices so far
-	received, routed    int64         // requests at the servers, and those of them along the route
-	failureReason       string        // of a failure
+	cpuUsed, drivenTime time.Duration // sums over the slices
+	received, routed    int64         // requests at all servers, and those with a route at a server of the route
+	failureReason       string        // of the last failed request
 }
 
-// wrapError names the variant in an error.
+// wrapError adds the variant's name to an error. It returns nil for nil.
 func (d *variantRun) wrapError(err error) error {
 	if err == nil {
 		return nil
@@ -37,7 +37,7 @@
 	return fmt.Errorf("%s: %w", d.variant.Name, err)
 }
 
-// runRound starts each variant once and measures all of them beside each other.
+// runRound starts all variants and measures them in interleaved slices. k is the number of the round.
 func (c *measurement) runRound(ctx context.Context, k int) ([]Round, error) {
 	all := make([]*variantRun, len(c.options.Variants))
 	defer func() {
@@ -80,7 +80,7 @@
 	return out, nil
 }
 
-// variantOrder returns the order of n variants on turn k: from first to last, and reversed on every other turn.
+// variantOrder returns the order of n variants in turn k: ascending if k is even, descending if it is odd.
 func variantOrder(n, k int) []int {
 	order := make([]int, n)
 	for i := range order {
@@ -92,7 +92,7 @@
 	return order
 }
 
-// startVariant starts a variant.
+// startVariant starts a sidecar of a variant, with its configuration patches applied last.
 func (c *measurement) startVariant(ctx context.Context, v *Variant) (*variantRun, error) {
 	var patches []any
 	if v.WithRoutes {
@@ -113,8 +113,8 @@
 	return d, nil
 }
 
-// measureIdle measures processes without requests. The first half of the time, with the cost of the start, does not count
-// for the processor time.
+// measureIdle measures CPU time and memory of the sidecars without requests. CPU time is that of the second half of the
+// idle time, so that it excludes the cost of the start.
 func (c *measurement) measureIdle(ctx context.Context, all []*variantRun) error {
 	harness.Sleep(ctx, c.options.IdleTime/2)
 	start := time.Now()
@@ -140,8 +140,8 @@
 	return ctx.Err()
 }
 
-// warmUp waits until a variant has joined its fleet, and sends requests: at least for the warm-up time, so that connections
-// are open and sizes known, and with routes until the requests follow them.
+// warmUp waits until a variant has joined its fleet, then sends requests at least for the warm-up time, so that its
+// connections are open and the sizes of its requests known. With routes, it continues until the requests follow them.
 func (c *measurement) warmUp(ctx context.Context, d *variantRun) error {
 	if d.variant.WithMembers {
 		if err := c.awaitFleet(ctx, d.sidecar.Management); err != nil {
@@ -157,12 +157,13 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("after %v %.1f %% of its requests go along the route", c.options.settleTimeout, 100*warming.routedFraction())
+			return fmt.Errorf("after %v, %.1f %% of the requests follow the route", c.options.settleTimeout,
+				100*warming.routedFraction())
 		}
 	}
 }
 
-// driveSlice sends requests to a variant for a slice and adds up what they cost.
+// driveSlice sends requests to a variant for a slice and adds their number and CPU time to d.
 func (c *measurement) driveSlice(ctx context.Context, d *variantRun, length time.Duration) error {
 	for _, s := range c.servers {
 		s.received.Store(0)
@@ -194,20 +195,20 @@
 	return nil
 }
 
-// routedFraction is the fraction of requests along a route that reached a server of the route.
+// routedFraction returns the fraction of the received requests that followed the route.
 func (d *variantRun) routedFraction() float64 { return float64(d.routed) / float64(max(d.received, 1)) }
 
-// result returns the figures of a start, and an error if they are not valid.
+// result returns the figures of a round. It fails if there were no requests, too many failed or too few were routed.
 func (d *variantRun) result() (Round, error) {
 	d.CPU = microseconds(d.cpuUsed) / float64(max(d.Requests, 1))
 	d.PerSecond = float64(d.Requests) / d.drivenTime.Seconds()
 	switch {
 	case d.Requests == 0:
-		return d.Round, errors.New("no request was sent")
+		return d.Round, errors.New("no requests were sent")
 	case float64(d.Failed) > maxFailedFraction*float64(d.Requests):
 		return d.Round, fmt.Errorf("%d of %d requests failed, such as: %s", d.Failed, d.Requests, d.failureReason)
 	case d.variant.WithRoutes && d.routedFraction() < minRoutedFraction:
-		return d.Round, fmt.Errorf("%.1f %% of the requests went along the route, %.0f %% have to", 100*d.routedFraction(),
+		return d.Round, fmt.Errorf("%.1f %% of the requests followed the route, need %.0f %%", 100*d.routedFraction(),
 			100*minRoutedFraction)
 	}
 	return d.Round, nil
@@ -215,7 +216,8 @@
 
 func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// awaitFleet waits until a sidecar is admitted and reaches all idle members.
+// awaitFleet waits until a sidecar is admitted to the fleet and reaches all idle members, as it reports at its
+// management address.
 func (c *measurement) awaitFleet(ctx context.Context, management string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.options.settleTimeout)
 	defer cancel()
@@ -232,9 +234,9 @@
 		}
 		if !harness.Sleep(ctx, 20*time.Millisecond) {
 			if last != nil {
-				return fmt.Errorf("it is not in the fleet of %d: it sees %+v", want, last.View)
+				return fmt.Errorf("join the fleet of %d: the last view is %+v", want, last.View)
 			}
-			return fmt.Errorf("it is not in the fleet of %d: %w", want, err)
+			return fmt.Errorf("join the fleet of %d: %w", want, err)
 		}
 	}
 }
--- a/internal/lab/experiment/requestcost/server.go
+++ b/internal/lab/experiment/requestcost/server.go
@@ -1,6 +1,6 @@
 package requestcost
 
-// This file has the servers, the clients and the processor clock of the measured sidecars.
+// This file has the servers behind the measured sidecars, and reads the CPU clock of processes.
 
 import (
 	"fmt"
@@ -13,29 +13,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// processCPU returns the processor time that a process has used so far, from its CPU clock: /proc rounds to ticks of 10 ms.
+// processCPU returns the CPU time that a process has used. It reads the process's CPU clock, as /proc rounds to ticks
+// of 10 ms.
 func processCPU(pid int) (time.Duration, error) {
-	const cpuClockSched = 2 // CPUCLOCK_SCHED of a process, as clock_getcpuclockid makes it
+	const cpuClockSched = 2 // CPUCLOCK_SCHED, as in the clock ids of clock_getcpuclockid
 	var t unix.Timespec
 	if err := unix.ClockGettime(int32(^pid<<3|cpuClockSched), &t); err != nil {
-		return 0, fmt.Errorf("processor time of process %d: %w", pid, err)
+		return 0, fmt.Errorf("read CPU time of process %d: %w", pid, err)
 	}
 	return time.Duration(t.Nano()), nil
 }
 
-// server answers each request at once.
+// server responds to each request at once.
 type server struct {
 	addr             string
-	inSubset         bool
-	received, routed atomic.Int64
+	inSubset         bool         // the route selects this server
+	received, routed atomic.Int64 // requests in this slice, and those with a route
 	http             *http.Server
-	done             chan struct{}
+	done             chan struct{} // closed when the server has stopped
 }
 
 func startServer(inSubset bool) (*server, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("server: %w", err)
+		return nil, fmt.Errorf("start server: %w", err)
 	}
 	s := &server{addr: l.Addr().String(), inSubset: inSubset, done: make(chan struct{})}
 	body := []byte(strings.Repeat("x", 256))
@@ -44,11 +45,11 @@
 		if r.Header.Get("X-Route-Rev") != "" {
 			s.routed.Add(1)
 		}
-		_, _ = w.Write(body) // fails if the sidecar has ended
+		_, _ = w.Write(body) // fails if the sidecar has disconnected
 	})}
 	go func() {
 		defer close(s.done)
-		_ = s.http.Serve(l) // until it is closed
+		_ = s.http.Serve(l) // returns when the server is closed
 	}()
 	return s, nil
 }
--- a/internal/lab/experiment/requestcost/summary.go
+++ b/internal/lab/experiment/requestcost/summary.go
@@ -9,7 +9,7 @@
 	"marblelane/internal/lab/harness"
 )
 
-// summarize works out the figures of each variant from its rounds.
+// summarize computes the result from the rounds of each variant. base is the index of the baseline.
 func summarize(o *Options, base int, rounds [][]Round) *Result {
 	out := &Result{Baseline: o.Variants[base].Name, Rounds: o.Rounds, Seconds: o.Length.Seconds(), Rate: o.Rate,
 		Connections: o.Connections}
@@ -39,7 +39,7 @@
 	return out
 }
 
-// meanInterval returns the mean of two or more values with its confidence interval.
+// meanInterval returns the mean of two or more values with its 95 % confidence interval.
 func meanInterval(list []float64) *Interval {
 	n, mean, squares := float64(len(list)), 0.0, 0.0
 	for _, v := range list {
@@ -64,11 +64,11 @@
 		(3*math.Pow(z, 7)+19*math.Pow(z, 5)+17*math.Pow(z, 3)-15*z)/(384*n*n*n)
 }
 
-// Print writes the variants as a table.
+// Print writes the result as a table, one line per variant.
 func Print(w io.Writer, r *Result) {
 	load := "closed loop"
 	if r.Rate > 0 {
-		load = strconv.FormatFloat(r.Rate, 'f', -1, 64) + " requests a second"
+		load = strconv.FormatFloat(r.Rate, 'f', -1, 64) + " requests per second"
 	}
 	fmt.Fprintf(w,
 		"%d rounds of %v s, %d connections, %s; medians, and the mean ratio of pairs to %s with its 95 %% interval\n",
--- a/internal/lab/experiment/routescale/fleet.go
+++ b/internal/lab/experiment/routescale/fleet.go
@@ -1,6 +1,6 @@
 package routescale
 
-// This file has a fleet of simulated sidecars before a real list service.
+// This file measures a fleet of simulated sidecars with a real list service.
 
 import (
 	"bufio"
@@ -28,7 +28,7 @@
 	"marblelane/internal/routeclient"
 )
 
-// fleet is three copies of the list service, and sidecars.
+// fleet is the replicas of the list service and the simulated sidecars.
 type fleet struct {
 	run      *harness.Run
 	registry *testbed.Registry
@@ -39,7 +39,7 @@
 	running      sync.WaitGroup
 }
 
-// startFleet starts the copies, without sidecars.
+// startFleet starts the list service, without sidecars.
 func startFleet(ctx context.Context, o harness.Options) (*fleet, error) {
 	s, err := scenario.Parse("route-scale.toml", []byte(scenarioText))
 	if err != nil {
@@ -58,7 +58,7 @@
 	return f, nil
 }
 
-// startReplicas starts the copies and lists the servers: a canary without a ready server is paused.
+// startReplicas starts the list service and registers the servers, as a canary without a ready server is paused.
 func (f *fleet) startReplicas(ctx context.Context) error {
 	if err := f.registry.Start(ctx); err != nil {
 		return err
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// close stops the sidecars and the copies.
+// close stops the sidecars and the list service.
 func (f *fleet) close() {
 	if f.stopSidecars != nil {
 		f.stopSidecars()
@@ -82,7 +82,8 @@
 	f.run.Close()
 }
 
-// startSidecars starts n sidecars. Their watches are spread over the copies, as those of sidecars of several zones are.
+// startSidecars starts n sidecars. Their watches are spread over the replicas, as those of sidecars in several zones
+// are.
 func (f *fleet) startSidecars(ctx context.Context, n int) error {
 	ctx, f.stopSidecars = context.WithCancel(ctx)
 	for i := range n {
@@ -100,10 +101,11 @@
 	return nil
 }
 
-// overspendTimeout bounds the time until the budget is spent.
+// overspendTimeout limits the time until the budget is spent and the sidecars act on the rollback.
 const overspendTimeout = time.Minute
 
-// awaitActing waits until all sidecars act on a revision, and returns when the last of them began.
+// awaitActing waits until all sidecars act on a revision or a later one, and returns the time at which the last of them
+// began.
 func (f *fleet) awaitActing(ctx context.Context, rev int64) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
@@ -125,19 +127,20 @@
 			return last, nil
 		}
 		if !harness.Sleep(ctx, 5*time.Millisecond) {
-			return 0, errors.New("some sidecars do not act on a change")
+			return 0, errors.New("wait for a change: some sidecars do not act on it")
 		}
 	}
 }
 
-// resourceUse is what the copies and this process have used so far.
+// resourceUse is what the replicas and this process have used since their start.
 type resourceUse struct {
-	at                time.Duration
-	ownCPU, leaderCPU float64 // CPU seconds
-	bytes             float64 // that all copies read and wrote, to the network and to disk
-	diskWrites        float64
+	at                time.Duration // since the start of the measurement
+	ownCPU, leaderCPU float64       // CPU seconds of this process and of the leader
+	bytes             float64       // read and written by all replicas, network and disk
+	diskWrites        float64       // synced writes of the leader
 }
 
+// resourceUse reads the current use. It fails if the list service has no leader.
 func (f *fleet) resourceUse(ctx context.Context) (resourceUse, error) {
 	u := resourceUse{at: f.shared.now()}
 	var t syscall.Rusage
@@ -147,7 +150,7 @@
 	u.ownCPU = time.Duration(t.Utime.Nano() + t.Stime.Nano()).Seconds()
 	lead := f.registry.Leader(ctx)
 	if lead == nil {
-		return u, errors.New("the list service has no leader")
+		return u, errors.New("measure: list service has no leader")
 	}
 	for _, c := range f.registry.Replicas {
 		io, err := readIO(c.Process().PID)
@@ -169,11 +172,11 @@
 	return u, nil
 }
 
-// readIO returns the kernel's counters of the reads and writes of a process, by their names.
+// readIO returns the kernel's I/O counters of a process by name, from /proc/PID/io.
 func readIO(pid int) (map[string]float64, error) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/io")
 	if err != nil {
-		return nil, fmt.Errorf("measure: %w", err)
+		return nil, fmt.Errorf("measure I/O: %w", err)
 	}
 	out := map[string]float64{}
 	for in := bufio.NewScanner(bytes.NewReader(text)); in.Scan(); {
@@ -183,11 +186,11 @@
 	return out, nil
 }
 
-// diskWrites returns how many synced writes a copy has done to its log. A write has one command or several.
+// diskWrites returns the number of synced writes of a replica to its log. A write contains one or more commands.
 func (f *fleet) diskWrites(ctx context.Context, c *cluster.Replica) (float64, error) {
 	code, text, err := cluster.Call(ctx, http.MethodGet, c.URL("/stats"), nil)
 	if err != nil || code != http.StatusOK {
-		return 0, fmt.Errorf("measure: /stats is answered %d, %w", code, err)
+		return 0, fmt.Errorf("measure: GET /stats: status %d: %w", code, err)
 	}
 	for in := bufio.NewScanner(bytes.NewReader(text)); in.Scan(); {
 		if value, ok := strings.CutPrefix(in.Text(), "registry_disk_writes_total "); ok {
@@ -197,7 +200,7 @@
 	return 0, nil
 }
 
-// measureIdle returns the use before and after a time in which nothing changes.
+// measureIdle returns the use before and after a wait in which nothing changes.
 func (f *fleet) measureIdle(ctx context.Context, wait time.Duration) (before, after resourceUse, err error) {
 	if before, err = f.resourceUse(ctx); err != nil {
 		return before, after, err
@@ -209,7 +212,8 @@
 	return before, after, err
 }
 
-// measureCommits changes the tenant's base repeatedly and measures until all sidecars act on the change.
+// measureCommits changes the tenant's base repeatedly. It measures the time from each call until all sidecars act on
+// the change.
 func (f *fleet) measureCommits(ctx context.Context, p *Point) error {
 	var delays []time.Duration
 	for i := range changeCount + 1 {
@@ -225,7 +229,7 @@
 		if err != nil {
 			return err
 		}
-		if i > 0 { // the first includes the joining of the sidecars
+		if i > 0 { // the first includes the start of the sidecars
 			delays = append(delays, last-called.Sub(f.shared.start))
 		}
 		if !harness.Sleep(ctx, 200*time.Millisecond) {
@@ -237,7 +241,8 @@
 	return nil
 }
 
-// measureOverspend has a canary fail until its budget is spent, beside the baseline.
+// measureOverspend lets a canary fail until its budget is spent, and measures the attempts after that. The baseline
+// runs with the same requests.
 func (f *fleet) measureOverspend(ctx context.Context, p *Point) error {
 	rev, _, err := f.registry.Change(ctx, "/routes/scale/rollouts/spent", rollouts.Request{To: "new", Budget: failureBudget, AtEnd: "return",
 		Steps: []rollout.Step{{CanaryFraction: 1, HoldMS: time.Hour.Milliseconds()}}})
@@ -262,7 +267,7 @@
 	if err != nil {
 		return err
 	}
-	harness.Sleep(ctx, 10*meanRequestTime) // for the attempts under way
+	harness.Sleep(ctx, 10*meanRequestTime) // for the attempts in flight
 	f.shared.sendToCanary.Store(false)
 	after, err := f.resourceUse(ctx)
 	if err != nil {
@@ -281,14 +286,14 @@
 	return nil
 }
 
-// awaitBudgetsSpent waits until the canary's budget is spent and the baseline has stopped. The baseline sums the counters
-// of all sidecars every baselineSumInterval, and stops them at once when the sum has reached the budget. The result is
-// when its failures reached the budget.
+// awaitBudgetsSpent waits until the canary's budget is spent and the baseline has stopped. The baseline sums the
+// counters of all sidecars every baselineSumInterval, and stops them at once when the sum has reached the budget. The
+// result is the time at which the failures of the baseline reached the budget.
 func (f *fleet) awaitBudgetsSpent(ctx context.Context) (baselineSpentAt time.Duration, err error) {
 	stopped := false
 	for lastSum := f.shared.now(); !stopped || f.shared.budgetSpentAt.Load() == 0; {
 		if !harness.Sleep(ctx, time.Millisecond) {
-			return 0, fmt.Errorf("after a minute %d of %d units are spent", f.shared.canaryFailures.Load(), failureBudget)
+			return 0, fmt.Errorf("wait for the spent budget: %d of %d units are spent", f.shared.canaryFailures.Load(), failureBudget)
 		}
 		failures := int64(0)
 		for _, sidecar := range f.sidecars {
@@ -309,4 +314,5 @@
 	return baselineSpentAt, nil
 }
 
+// nonNegativeMS returns a duration in milliseconds, 0 for a negative one.
 func nonNegativeMS(d time.Duration) float64 { return max(harness.Milliseconds(d), 0) }
--- a/internal/lab/experiment/routescale/routescale.go
+++ b/internal/lab/experiment/routescale/routescale.go
@@ -1,8 +1,8 @@
-// Package routescale measures what routes cost with many sidecars. The sidecars are the real routes' clients with simulated
-// loops, in this process, before three copies of the list service as processes. It measures the time until all sidecars
-// act on a change, the idle cost, and how many attempts follow when a failing canary has spent its budget, beside a
-// baseline that sums counters once a second. A model on a simulated clock covers larger fleets. The command is
-// `marblelane lab route-scale`.
+// Package routescale measures the cost of routes with many sidecars. A sidecar is the real route client with a
+// simulated loop, in this process. The list service is three replicas in processes of their own. The package measures
+// the time until all sidecars act on a change, the idle cost, and how many attempts follow when a failing canary has
+// spent its budget, compared with a baseline that sums counters once per second. A model on a simulated clock covers
+// larger fleets. The command is `marblelane lab route-scale`.
 package routescale
 
 import (
@@ -21,38 +21,38 @@
 	"marblelane/internal/routeclient"
 )
 
-// Point is what routes cost with one number of sidecars. Times are in milliseconds.
+// Point is the cost of routes with one number of sidecars. Times are in milliseconds.
 type Point struct {
 	Sidecars int     `json:"sidecars"`
-	Commits  int     `json:"commits"`
-	ActP50   float64 `json:"act_p50_ms"` // from the call of a change until the last sidecar acts on it
-	ActP99   float64 `json:"act_p99_ms"`
+	Commits  int     `json:"commits"`    // measured changes
+	ActP50   float64 `json:"act_p50_ms"` // from the call of a change until the last sidecar acts on it, median
+	ActP99   float64 `json:"act_p99_ms"` // the same, 99th percentile
 
-	Budget           int64   `json:"budget"`
-	Failures         int64   `json:"failures"`      // of attempts to the canary
-	Attempts         int64   `json:"attempts"`      // to the canary
-	LastAttemptAfter float64 `json:"after_ms"`      // from the failure that spent the budget to the last attempt; 0: no attempt came after it
+	Budget           int64   `json:"budget"`        // failures that the canary may have
+	Failures         int64   `json:"failures"`      // failed attempts to the canary
+	Attempts         int64   `json:"attempts"`      // attempts to the canary
+	LastAttemptAfter float64 `json:"after_ms"`      // from the failure that spent the budget to the last attempt; 0: none later
 	RollbackAfter    float64 `json:"rolled_ms"`     // from that failure until the last sidecar acts on the rollback
-	BaselineFailures int64   `json:"base_failures"` // of the baseline, which sums counters once a second, with the same requests
-	BaselineAfter    float64 `json:"base_after_ms"`
+	BaselineFailures int64   `json:"base_failures"` // failed attempts of the baseline, with the same requests
+	BaselineAfter    float64 `json:"base_after_ms"` // LastAttemptAfter of the baseline
 
-	Bytes                float64 `json:"bytes_per_s"`     // of a sidecar, both directions, while nothing changes
-	CPU                  float64 `json:"cpu_us_per_s"`    // of a sidecar
-	LeaderCPU            float64 `json:"leader_cpu_ms_s"` // ms a second
-	DiskWrites           float64 `json:"disk_writes_s"`   // synced writes of the leader a second, while nothing changes
-	DiskWritesBusy       float64 `json:"disk_busy_s"`     // while a canary fails
-	DiskWritesNoSidecars float64 `json:"disk_bare_s"`     // without any sidecar
+	Bytes                float64 `json:"bytes_per_s"`     // bytes/s per sidecar that the replicas read and write, while nothing changes
+	CPU                  float64 `json:"cpu_us_per_s"`    // CPU us/s of a sidecar in this process, while nothing changes
+	LeaderCPU            float64 `json:"leader_cpu_ms_s"` // CPU ms/s of the leader, while nothing changes
+	DiskWrites           float64 `json:"disk_writes_s"`   // synced writes/s of the leader, while nothing changes
+	DiskWritesBusy       float64 `json:"disk_busy_s"`     // synced writes/s of the leader, while a canary fails
+	DiskWritesNoSidecars float64 `json:"disk_bare_s"`     // synced writes/s of the leader, without sidecars
 }
 
-// The parameters of the measurement.
+// Parameters of the measurement.
 const (
-	changeCount         = 20
-	idleWindow          = 5 * time.Second
-	failureBudget       = 100
-	canaryFailureRate   = 0.2 // of attempts to the canary
-	meanRequestTime     = 20 * time.Millisecond
-	baselineSumInterval = time.Second // between two sums of the counters
-	attemptsPerSecond   = 10.0        // of each sidecar, to the canary
+	changeCount         = 20                    // measured changes of the tenant's base
+	idleWindow          = 5 * time.Second       // duration of an idle measurement
+	failureBudget       = 100                   // failures that the canary may have
+	canaryFailureRate   = 0.2                   // fraction of the attempts to the canary that fail
+	meanRequestTime     = 20 * time.Millisecond // mean duration of a request to the canary, exponentially distributed
+	baselineSumInterval = time.Second           // interval at which the baseline sums its counters
+	attemptsPerSecond   = 10.0                  // mean rate of attempts of a sidecar to the canary
 )
 
 const scenarioText = `
@@ -72,7 +72,7 @@
 subsets = ["new"]
 `
 
-// Measure measures fleets of several sizes.
+// Measure measures one fleet after the other, with the given numbers of sidecars.
 func Measure(ctx context.Context, sidecars []int, o harness.Options) ([]Point, error) {
 	var points []Point
 	for _, n := range sidecars {
@@ -82,45 +82,47 @@
 		}
 		points = append(points, *p)
 		if o.Progress != nil {
-			fmt.Fprintf(o.Progress, "%d sidecars: acting p99 %.1f ms\n", n, p.ActP99)
+			fmt.Fprintf(o.Progress, "%d sidecars: p99 until all act on a change %.1f ms\n", n, p.ActP99)
 		}
 	}
 	return points, nil
 }
 
-// simulatedSidecar is the routes' client of a sidecar, with a loop that acts on tables and sends attempts to the canary.
+// simulatedSidecar is the route client of a sidecar, with a loop that applies route tables and simulates attempts to
+// the canary.
 type simulatedSidecar struct {
 	client *routeclient.Client
-	wake   chan struct{}
+	wake   chan struct{} // capacity 1: the client has an update
 	shared *sharedState
 
 	mu        sync.Mutex
-	actedAt   map[int64]time.Duration // when it first acted on each revision
-	rev       int64
-	route     *route.Route
+	actedAt   map[int64]time.Duration // time at which it applied each revision
+	rev       int64                   // of the current table
+	route     *route.Route            // with the rollout; nil: the table has none
 	budget    balance.CanaryBudget
-	completed route.Count
+	completed route.Count // completed attempts of one revision
 
-	baseline struct { // what a sidecar of the baseline would have done
+	baseline struct { // what a baseline sidecar would have done with the same requests
 		failures      atomic.Int64
 		lastAttemptAt atomic.Int64
 	}
 }
 
-// sharedState is what all sidecars of a measurement share. Times count from its start.
+// sharedState is the state that all sidecars of a measurement share. Times are nanoseconds since start.
 type sharedState struct {
 	start           time.Time
 	sendToCanary    atomic.Bool  // sidecars send attempts to the canary
 	canaryFailures  atomic.Int64 // failed attempts to the canary
 	canaryAttempts  atomic.Int64
 	lastAttemptAt   atomic.Int64 // start of the last attempt to the canary
-	budgetSpentAt   atomic.Int64 // when a failure spent the last unit of the budget
-	baselineStopped atomic.Bool  // the baseline has seen its budget spent
+	budgetSpentAt   atomic.Int64 // time of the failure that spent the last unit of the budget; 0: not spent
+	baselineStopped atomic.Bool  // the baseline has detected that its budget is spent
 }
 
+// now returns the time since the start of the measurement.
 func (c *sharedState) now() time.Duration { return time.Since(c.start) }
 
-// wakeUp tells the loop that the client has an update.
+// wakeUp notifies the loop that the client has an update.
 func (p *simulatedSidecar) wakeUp() {
 	select {
 	case p.wake <- struct{}{}:
@@ -157,7 +159,7 @@
 	}
 }
 
-// applyUpdate does what a sidecar's loop does with an update.
+// applyUpdate applies an update of the route table and grants, as a sidecar's loop does.
 func (p *simulatedSidecar) applyUpdate() {
 	update, ok := p.client.TakeUpdate()
 	if !ok {
@@ -181,7 +183,8 @@
 	p.offerSample(false)
 }
 
-// offerSample gives the client a sample of the budget and the counts.
+// offerSample passes a sample of the budget and the counts to the client. needsUnits reports that no unit was left for
+// an attempt.
 func (p *simulatedSidecar) offerSample(needsUnits bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,8 +199,8 @@
 	p.client.OfferSample(s)
 }
 
-// attempt simulates a request to the canary. The sidecar sends it only if it can reserve a unit of the budget, the baseline
-// in any case until it is stopped.
+// attempt simulates an attempt to the canary. The sidecar sends it only if it can reserve a unit of the budget. The
+// baseline always sends it, until it is stopped.
 func (p *simulatedSidecar) attempt(fails bool, duration time.Duration) {
 	if !p.shared.baselineStopped.Load() {
 		p.baseline.lastAttemptAt.Store(int64(p.shared.now()))
@@ -229,7 +232,7 @@
 	time.AfterFunc(duration, func() { p.complete(rev, tenant, fails) })
 }
 
-// complete ends an attempt to the canary.
+// complete records the end of an attempt to the canary.
 func (p *simulatedSidecar) complete(rev int64, tenant string, fails bool) {
 	if fails && p.shared.canaryFailures.Add(1) == failureBudget {
 		p.shared.budgetSpentAt.Store(int64(p.shared.now()))
@@ -246,7 +249,7 @@
 	p.offerSample(false)
 }
 
-// measurePoint measures one size.
+// measurePoint measures a fleet of n sidecars.
 func measurePoint(ctx context.Context, n int, o harness.Options) (*Point, error) {
 	f, err := startFleet(ctx, o)
 	if err != nil {
@@ -278,11 +281,12 @@
 	return p, f.measureOverspend(ctx, p)
 }
 
-// Simulate plays the spent budget on a simulated clock, for fleets that are too large for the machine.
+// Simulate runs the model of a canary that spends its budget, on a simulated clock. It is for fleets that are too large
+// to run on one machine.
 func Simulate(sidecars int) (*rolloutmodel.Result, error) {
 	o := rolloutmodel.Defaults()
 	o.Sidecars, o.Budget, o.CanaryFailureRate = sidecars, failureBudget, canaryFailureRate
-	o.Controller.Alpha = 1e-100 // the budget decides, as in the measured fleets, which have no base version
+	o.Controller.Alpha = 1e-100 // only the budget ends the canary, as in the measured fleets, which have no base version
 	r, err := rolloutmodel.Simulate(o)
 	if err != nil {
 		return nil, fmt.Errorf("%d simulated sidecars: %w", sidecars, err)
@@ -290,14 +294,14 @@
 	return &r, nil
 }
 
-// PrintSimulation writes the result of a simulated fleet.
+// PrintSimulation writes the result of a simulated fleet as one line.
 func PrintSimulation(w io.Writer, sidecars int, r *rolloutmodel.Result) {
 	fmt.Fprintf(w, "%d simulated: %d attempts, %d failures of a budget of %d, the last attempt %d ms after the last unit; all act on the rollback %d ms after it;"+
-		" the baseline %d failures, its last attempt %d ms after; %.1f ledger commands a second\n", sidecars, r.Attempts, r.Failures, r.Budget,
+		" the baseline %d failures, its last attempt %d ms after; %.1f ledger commands per second\n", sidecars, r.Attempts, r.Failures, r.Budget,
 		max(r.LastAttempt-r.LastUnitSpent, 0), r.CanaryStopped-r.LastUnitSpent, r.BaselineFailures, max(r.BaselineLastAttempt-r.BaselineLastUnit, 0), r.LedgerPerSecond)
 }
 
-// Print writes the sizes as a table.
+// Print writes the points as a table, one line per number of sidecars.
 func Print(w io.Writer, points []Point) {
 	fmt.Fprintf(w, "%8s %8s %8s %9s %8s %9s %8s %10s %9s %10s %9s %9s %10s %8s %8s %8s\n", "sidecars", "act p50", "act p99", "failures",
 		"budget", "after ms", "rolled", "base fails", "after ms", "bytes/s", "us CPU/s", "leader ms", "writes/s", "busy/s", "bare/s", "tries")
