--- a/internal/lab/experiment/requestcost/requestcost.go
+++ b/internal/lab/experiment/requestcost/requestcost.go
@@ -95,8 +95,8 @@
 	sliceLength          = 200 * time.Millisecond // requests go to one variant for this long, then to the next one
 	defaultSettleTimeout = 20 * time.Second       // limit for joining the fleet, and for requests to follow the route
 	maxFailedFraction    = 0.01                   // of the requests; a round with more failures is an error
-	minRoutedFraction    = 0.99                   // of the requests with a route; a round with less is an error
-	subsetName           = "near"                 // of the servers that the route selects
+	minRoutedFraction    = 0.99                   // of the requests of a variant with routes; less is an error
+	subsetName           = "near"                 // subset of the servers that the route selects
 	sidecarSeed          = 1
 	maxFleetSeeds        = 3 // seeds in the configuration of a fleet member
 )
@@ -267,7 +267,7 @@
 	return err
 }
 
-// listEntry is the list listEntry of a server.
+// listEntry returns the list entry of server i.
 func (c *measurement) listEntry(i int) agent.Entry {
 	e := c.run.Entry(i, agent.Ready, 0)
 	e.Endpoint = c.servers[i].addr
--- a/internal/lab/experiment/routescale/routescale.go
+++ b/internal/lab/experiment/routescale/routescale.go
@@ -31,12 +31,12 @@
 	Budget           int64   `json:"budget"`        // failures that the canary may have
 	Failures         int64   `json:"failures"`      // failed attempts to the canary
 	Attempts         int64   `json:"attempts"`      // attempts to the canary
-	LastAttemptAfter float64 `json:"after_ms"`      // from the failure that spent the budget to the last attempt; 0: none later
-	RollbackAfter    float64 `json:"rolled_ms"`     // from that failure until the last sidecar acts on the rollback
+	LastAttemptAfter float64 `json:"after_ms"`      // from the end of the budget to the last attempt; 0: none later
+	RollbackAfter    float64 `json:"rolled_ms"`     // from the end of the budget until the last sidecar acts on the rollback
 	BaselineFailures int64   `json:"base_failures"` // failed attempts of the baseline, with the same requests
 	BaselineAfter    float64 `json:"base_after_ms"` // LastAttemptAfter of the baseline
 
-	Bytes                float64 `json:"bytes_per_s"`     // bytes/s per sidecar that the replicas read and write, while nothing changes
+	Bytes                float64 `json:"bytes_per_s"`     // bytes/s per sidecar, of all replicas, while nothing changes
 	CPU                  float64 `json:"cpu_us_per_s"`    // CPU us/s of a sidecar in this process, while nothing changes
 	LeaderCPU            float64 `json:"leader_cpu_ms_s"` // CPU ms/s of the leader, while nothing changes
 	DiskWrites           float64 `json:"disk_writes_s"`   // synced writes/s of the leader, while nothing changes
