--- a/internal/lab/experiment/growth/process.go
+++ b/internal/lab/experiment/growth/process.go
@@ -1,6 +1,6 @@
 package growth
 
-// This file plays a day of one real sidecar between stand-ins, and measures what it needs.
+// This file runs one real sidecar for a day between a stand-in client and stand-in servers, and measures its usage.
 
 import (
 	"context"
@@ -44,36 +44,36 @@
 `
 
 const (
-	workTime       = 5 * time.Millisecond // of a server per request
+	workTime       = 5 * time.Millisecond // time in which a server handles a request
 	sidecarSeed    = 1
 	sampleInterval = 50 * time.Millisecond
-	drainTime      = 400 * time.Millisecond // from the notification that a server drains until it ends, at most
+	drainTime      = 400 * time.Millisecond // longest time from the notification that a server drains until it ends
 )
 
-// dayRun is a day under way.
+// dayRun is the state of a day of the real sidecar.
 type dayRun struct {
 	options *Options
-	run     *harness.Run // the plan, the folder and the supervisor of the processes
-	servers *servers
+	run     *harness.Run // the plan, the directory and the supervisor of the processes
+	servers *standInServers
 	agents  *agent.Agents
-	meter   *meteredForward
-	ids     atomic.Uint64
+	meter   *meteredProxy // counts the bytes from the discovery service to the sidecar
+	ids     atomic.Uint64 // last request ID
 }
 
-// playRound plays a day with each size. The order alternates from round to round.
-func playRound(ctx context.Context, o *Options, round int) (Pair, error) {
+// runRound runs a day with each size. The order alternates from round to round.
+func runRound(ctx context.Context, o *Options, round int) (Pair, error) {
 	var pair Pair
-	play := func(name string, size Size, usage *Usage) error {
+	runSize := func(name string, size Size, usage *Usage) error {
 		var err error
 		dir := filepath.Join(o.Dir, fmt.Sprintf("%s-%d", name, round))
-		if *usage, err = playDay(ctx, o, size, dir); err != nil {
+		if *usage, err = runDay(ctx, o, size, dir); err != nil {
 			return fmt.Errorf("%d servers: %w", size.Servers, err)
 		}
 		o.progress("round %d of %d, %d servers: %+v", round+1, o.Rounds, size.Servers, *usage)
 		return nil
 	}
-	first := func() error { return play("usual", o.Usual, &pair.Usual) }
-	second := func() error { return play("large", o.Large, &pair.Large) }
+	first := func() error { return runSize("usual", o.Usual, &pair.Usual) }
+	second := func() error { return runSize("large", o.Large, &pair.Large) }
 	if round%2 == 1 {
 		first, second = second, first
 	}
@@ -83,8 +83,9 @@
 	return pair, second()
 }
 
-// playDay starts a sidecar before the servers, sends requests for the day while servers are replaced, and stops it.
-func playDay(ctx context.Context, o *Options, size Size, dir string) (usage Usage, err error) {
+// runDay starts the servers, the discovery service and a sidecar, and measures the sidecar over a day. It fails if the
+// sidecar was not notified of the removal of each replaced server.
+func runDay(ctx context.Context, o *Options, size Size, dir string) (usage Usage, err error) {
 	replaced := int(o.ReplacedFraction * float64(size.Servers))
 	s, err := scenario.Parse("growth.toml", []byte(processScenario))
 	if err != nil {
@@ -107,24 +108,24 @@
 	if err != nil {
 		return usage, err
 	}
-	if usage, err = d.play(ctx, p, size.Servers, replaced); err != nil {
+	if usage, err = d.measureUsage(ctx, p, size.Servers, replaced); err != nil {
 		return usage, err
 	}
-	if notified := d.serversNotifiedGone(); notified < replaced {
-		return usage, fmt.Errorf("the sidecar was told of %d of %d servers that ended", notified, replaced)
+	if notified := d.countRemovalsNotified(); notified < replaced {
+		return usage, fmt.Errorf("sidecar was notified of the removal of %d of %d replaced servers", notified, replaced)
 	}
 	return usage, nil
 }
 
-// serversNotifiedGone returns of how many servers the sidecar was notified that they are gone.
-func (d *dayRun) serversNotifiedGone() int {
-	gone := map[int32]bool{}
+// countRemovalsNotified returns the number of servers that the sidecar was notified of as removed.
+func (d *dayRun) countRemovalsNotified() int {
+	removed := map[int32]bool{}
 	for _, e := range d.run.Events.Events() {
 		if e.Kind == record.Notified && e.Note == agent.Gone {
-			gone[e.Server] = true
+			removed[e.Server] = true
 		}
 	}
-	return len(gone)
+	return len(removed)
 }
 
 // startDiscovery starts a discovery service that lists the first servers of the plan.
@@ -136,10 +137,11 @@
 	if err != nil {
 		return err
 	}
-	d.meter, err = startMeteredForward(d.agents.Addr(0))
+	d.meter, err = startMeteredProxy(d.agents.Addr(0))
 	return err
 }
 
+// entries returns the list entries of the first servers of the plan, all ready.
 func (d *dayRun) entries(listed int) []agent.Entry {
 	var list []agent.Entry
 	for i := range listed {
@@ -150,7 +152,8 @@
 	return list
 }
 
-// launch starts the sidecar, configured for a fleet of this size.
+// launch starts the sidecar with the settings for a fleet of the given size. The list of servers is part of its
+// configuration.
 func (d *dayRun) launch(ctx context.Context, size Size) (*testbed.Sidecar, error) {
 	settings := d.run.Plan.Settings(0)
 	settings["peers_total"] = size.Sidecars
@@ -165,8 +168,9 @@
 	return launcher.Launch(ctx, "sidecar", d.options.Program)
 }
 
-// play sends requests to the sidecar while servers are replaced, stops it, and measures until it has ended.
-func (d *dayRun) play(ctx context.Context, p *testbed.Sidecar, listed, replaced int) (Usage, error) {
+// measureUsage sends requests to the sidecar for the day while servers are replaced, stops the sidecar, and returns its
+// usage up to its end.
+func (d *dayRun) measureUsage(ctx context.Context, p *testbed.Sidecar, listed, replaced int) (Usage, error) {
 	load := testbed.NewLoad(p.Listen, d.run.Scenario.Classes[0].Name, d.options.Rate, d.options.Connections, &d.ids)
 	driving, stopDriving := context.WithCancel(ctx)
 	var background sync.WaitGroup
@@ -176,7 +180,7 @@
 	background.Go(func() { d.replace(driving, listed, replaced) })
 	start := time.Now()
 	done, err := load.Drive(ctx, d.options.Length)
-	harness.Sleep(ctx, time.Until(start.Add(d.options.Length))) // the day ends some time after the last request
+	harness.Sleep(ctx, time.Until(start.Add(d.options.Length))) // the last request is sent before the end of the day
 	load.Close()
 	stopDriving()
 	background.Wait()
@@ -187,12 +191,12 @@
 	case sampleErr != nil:
 		return Usage{}, sampleErr
 	case p.Err() != nil:
-		return Usage{}, fmt.Errorf("the sidecar ended with %w; its log ends:\n%s", p.Err(), p.LogTail())
+		return Usage{}, fmt.Errorf("sidecar ended with an error: %w; its log ends:\n%s", p.Err(), p.LogTail())
 	case done.Sent == 0:
 		return Usage{}, errors.New("no request was sent")
 	}
 	return Usage{CPU: p.CPU(), PeakMemory: float64(peak.PeakRSS) / (1 << 20), Descriptors: float64(peak.Descriptors),
-		Connections: float64(d.servers.made.Load()), ListBytes: float64(d.meter.bytes.Load()),
+		Connections: float64(d.servers.connections.Load()), ListBytes: float64(d.meter.bytes.Load()),
 		Served: 1 - float64(done.Failed)/float64(done.Sent)}, nil
 }
 
@@ -212,7 +216,7 @@
 	}
 }
 
-// replace drains and ends servers in steps, evenly over the day, while new ones take their places.
+// replace drains and then removes servers in steps, evenly over the day. Each step also lists as many new servers.
 func (d *dayRun) replace(ctx context.Context, listed, replaced int) {
 	steps := min(d.options.Steps, replaced)
 	start := time.Now()
@@ -221,21 +225,22 @@
 		if !harness.Sleep(ctx, time.Until(due)) {
 			return
 		}
-		var changed, gone []agent.Entry
+		var changed, removed []agent.Entry
 		for i := step * replaced / steps; i < (step+1)*replaced/steps; i++ {
 			old := d.run.Entry(i*listed/replaced, agent.Terminating, 0)
 			changed = append(changed, d.run.Entry(listed+i, agent.Ready, time.Now().UnixMilli()), old)
 			old.State = agent.Gone
-			gone = append(gone, old)
+			removed = append(removed, old)
 		}
 		d.agents.PublishAll(changed, 0, 0)
 		if !harness.Sleep(ctx, min(drainTime, d.options.Length/time.Duration(2*steps+4))) {
 			return
 		}
-		d.agents.PublishAll(gone, 0, 0)
+		d.agents.PublishAll(removed, 0, 0)
 	}
 }
 
+// close ends the sidecar, the discovery service and the servers.
 func (d *dayRun) close() error {
 	d.run.Close()
 	var err error
@@ -251,25 +256,26 @@
 	return err
 }
 
-// servers are stand-in servers that give the same answer to each request.
-type servers struct {
-	http      *http.Server
-	listeners []net.Listener
-	made      atomic.Int64 // connections made to them
-	serving   sync.WaitGroup
+// standInServers are HTTP servers that send the same response to each request.
+type standInServers struct {
+	http        *http.Server
+	listeners   []net.Listener
+	connections atomic.Int64 // number of connections that the servers accepted
+	serving     sync.WaitGroup
 }
 
-func startServers(count int) (*servers, error) {
-	s := &servers{}
-	answer := []byte(strings.Repeat("x", 256))
+// startServers starts count servers, each on its own loopback address.
+func startServers(count int) (*standInServers, error) {
+	s := &standInServers{}
+	body := []byte(strings.Repeat("x", 256))
 	s.http = &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(workTime)
-			_, _ = w.Write(answer) // fails if the sidecar has ended
+			_, _ = w.Write(body) // the error is ignored: it means that the sidecar has ended
 		}),
 		ConnState: func(_ net.Conn, state http.ConnState) {
 			if state == http.StateNew {
-				s.made.Add(1)
+				s.connections.Add(1)
 			}
 		},
 	}
@@ -279,82 +285,87 @@
 			return nil, errors.Join(fmt.Errorf("server %d of %d: %w", len(s.listeners)+1, count, err), s.close())
 		}
 		s.listeners = append(s.listeners, l)
-		s.serving.Go(func() { _ = s.http.Serve(l) }) // until it is closed
+		s.serving.Go(func() { _ = s.http.Serve(l) }) // returns when the server is closed
 	}
 	return s, nil
 }
 
-// serverHost is a loopback address for this server alone. On 127.0.0.1 so many ports would also receive connections
-// that are meant for earlier listeners.
+// serverHost returns a loopback address that only this server uses. With thousands of ports on 127.0.0.1, a server
+// would also receive connections that are meant for an earlier listener on its port.
 func serverHost(server int) string { return fmt.Sprintf("127.16.%d.%d", server>>8, server&255) }
 
-func (s *servers) addr(server int) string { return s.listeners[server].Addr().String() }
+// addr returns the address that a server listens on.
+func (s *standInServers) addr(server int) string { return s.listeners[server].Addr().String() }
 
-func (s *servers) close() error {
+// close closes all listeners and connections, and waits until the servers have ended.
+func (s *standInServers) close() error {
 	err := s.http.Close()
-	for _, l := range s.listeners { // those that are not served yet
+	for _, l := range s.listeners { // http.Server doesn't close listeners on which Serve has not started
 		_ = l.Close()
 	}
 	s.serving.Wait()
 	return err
 }
 
-// meteredForward forwards connections to one address and counts the bytes that come back.
-type meteredForward struct {
+// meteredProxy forwards connections to one address and counts the bytes that the target sends.
+type meteredProxy struct {
 	target   string
 	listener net.Listener
 	bytes    atomic.Int64
-	passing  sync.WaitGroup
+	active   sync.WaitGroup
 }
 
-func startMeteredForward(target string) (*meteredForward, error) {
+// startMeteredProxy starts a proxy on a free loopback port.
+func startMeteredProxy(target string) (*meteredProxy, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("discovery: %w", err)
+		return nil, fmt.Errorf("listen for discovery connections: %w", err)
 	}
-	f := &meteredForward{target: target, listener: l}
-	f.passing.Go(f.accept)
+	f := &meteredProxy{target: target, listener: l}
+	f.active.Go(f.accept)
 	return f, nil
 }
 
-func (f *meteredForward) addr() string { return f.listener.Addr().String() }
+// addr returns the address that the proxy listens on.
+func (f *meteredProxy) addr() string { return f.listener.Addr().String() }
 
-func (f *meteredForward) accept() {
+// accept forwards each new connection until the listener is closed.
+func (f *meteredProxy) accept() {
 	for {
 		c, err := f.listener.Accept()
 		if err != nil {
 			return
 		}
-		f.passing.Go(func() { f.pass(c) })
+		f.active.Go(func() { f.forward(c) })
 	}
 }
 
-// pass forwards a connection until either side closes.
-func (f *meteredForward) pass(caller net.Conn) {
-	defer caller.Close()
-	called, err := net.DialTimeout("tcp4", f.target, time.Second)
+// forward forwards a connection until either side closes.
+func (f *meteredProxy) forward(client net.Conn) {
+	defer client.Close()
+	upstream, err := net.DialTimeout("tcp4", f.target, time.Second)
 	if err != nil {
 		return
 	}
-	defer called.Close()
-	f.passing.Go(func() {
-		_, _ = io.Copy(called, caller) // until either closes
-		called.Close()
+	defer upstream.Close()
+	f.active.Go(func() {
+		_, _ = io.Copy(upstream, client) // ends when either side closes
+		upstream.Close()
 	})
-	_, _ = io.Copy(io.MultiWriter(caller, (*byteCount)(&f.bytes)), called) // until either closes
+	_, _ = io.Copy(io.MultiWriter(client, (*byteCount)(&f.bytes)), upstream) // ends when either side closes
 }
 
-// close waits for the connections to end.
-func (f *meteredForward) close() error {
+// close closes the listener and waits for the connections to end.
+func (f *meteredProxy) close() error {
 	err := f.listener.Close()
-	f.passing.Wait()
+	f.active.Wait()
 	return err
 }
 
-// byteCount counts what is written to it.
+// byteCount is a writer that counts the bytes written to it.
 type byteCount atomic.Int64
 
-// Write counts and never fails.
+// Write adds len(p) to the count. It never fails.
 func (c *byteCount) Write(p []byte) (int, error) {
 	(*atomic.Int64)(c).Add(int64(len(p)))
 	return len(p), nil
--- a/internal/lab/experiment/memberscale/processes.go
+++ b/internal/lab/experiment/memberscale/processes.go
@@ -22,23 +22,24 @@
 	"marblelane/internal/membership/roster"
 )
 
-// ProcessResult is what idle sidecars use.
+// ProcessResult is the resource use of idle sidecar processes.
 type ProcessResult struct {
-	Members int     `json:"members"`
-	Section bool    `json:"section"`             // they have a section members; else the same without it
-	CPU     float64 `json:"cpu_us_per_member_s"` // of one process, mean
-	RSS     float64 `json:"rss_mb"`              // of one process, mean
-	Joined  float64 `json:"joined_s"`            // until all agree, from when the last was ready; 0 without the section
+	Members     int     `json:"members"`
+	WithMembers bool    `json:"section"`             // the configuration has the section "members"
+	CPU         float64 `json:"cpu_us_per_member_s"` // mean of a process
+	RSS         float64 `json:"rss_mb"`              // mean of a process
+	JoinSeconds float64 `json:"joined_s"`            // from when the last is ready until all agree; 0 without the section
 }
 
 const (
-	processConcurrency = 8 // processes that are started or polled at a time
-	maxProcessSeeds    = 3
-	processFleetLabel  = "lab"
+	processConcurrency = 8     // processes that are started or polled at the same time
+	maxProcessSeeds    = 3     // processes whose addresses all others have as seeds
+	processFleetLabel  = "lab" // name of the fleet in the members' settings
 )
 
-// MeasureProcesses measures real sidecars of a program, with the section members and without it, for a window of time.
-// They follow an empty list and have no clients; s gives their settings.
+// MeasureProcesses runs sidecar processes of a program, without and with the section "members" in their configuration,
+// and measures their usage for a window of time. Their list of servers is empty and they have no clients. Their other
+// settings are those of s.
 func (m *Experiment) MeasureProcesses(ctx context.Context, s *scenario.Scenario, program string,
 	window time.Duration) (*Result, error) {
 	start, r := time.Now(), &Result{}
@@ -54,24 +55,25 @@
 			}
 		}
 	}
-	r.TookS = time.Since(start).Seconds()
+	r.ElapsedSeconds = time.Since(start).Seconds()
 	return r, nil
 }
 
 // processFleet is a fleet of sidecar processes.
 type processFleet struct {
-	experiment *Experiment
-	scenario   *scenario.Scenario
-	plan       *scenario.Plan
-	program    string
-	dir        string
-	section    bool
-	seeds      []string // addresses of the first members
-	list       *agent.Agents
-	children   *process.Supervisor
-	sidecars   []*testbed.Sidecar
+	experiment  *Experiment
+	scenario    *scenario.Scenario
+	plan        *scenario.Plan
+	program     string
+	dir         string
+	withMembers bool
+	seeds       []string // member addresses of the first processes
+	discovery   *agent.Agents
+	children    *process.Supervisor
+	sidecars    []*testbed.Sidecar
 }
 
+// measureProcesses runs n sidecars, waits until they agree and are quiet, and measures their usage.
 func (m *Experiment) measureProcesses(ctx context.Context, s *scenario.Scenario, program string, n int,
 	section bool, window time.Duration) (*ProcessResult, error) {
 	dir, err := os.MkdirTemp("", "marblelane-members-")
@@ -81,32 +83,32 @@
 	defer os.RemoveAll(dir)
 	sized := *s
 	sized.Sidecars.Count = n
-	f := &processFleet{experiment: m, scenario: s, plan: sized.Plan(m.Seed), program: program, dir: dir, section: section,
+	f := &processFleet{experiment: m, scenario: s, plan: sized.Plan(m.Seed), program: program, dir: dir, withMembers: section,
 		children: process.NewSupervisor(), sidecars: make([]*testbed.Sidecar, n)}
 	defer f.close()
 	if err := f.start(ctx); err != nil {
 		return nil, err
 	}
-	out := &ProcessResult{Members: n, Section: section}
+	result := &ProcessResult{Members: n, WithMembers: section}
 	if section {
 		start := time.Now()
 		if err := m.awaitProcessAgreement(ctx, f.sidecars); err != nil {
 			return nil, err
 		}
-		out.Joined = time.Since(start).Seconds()
+		result.JoinSeconds = time.Since(start).Seconds()
 	}
-	// Members gossip about the joining for a while, the longer the larger the fleet.
+	// Members gossip about a join for a time that increases with the size of the fleet.
 	if !harness.Sleep(ctx, m.Interval*time.Duration(5+n/5)) {
 		return nil, context.Cause(ctx)
 	}
-	return out, f.measure(ctx, window, out)
+	return result, f.measure(ctx, window, result)
 }
 
 // start starts the discovery service and then all sidecars, and waits until they are ready.
 func (f *processFleet) start(ctx context.Context) error {
 	n := len(f.sidecars)
 	var err error
-	f.list, err = agent.New(record.New(), n, nil, func(int, int) string { return "" }, func(int) *relay.Link {
+	f.discovery, err = agent.New(record.New(), n, nil, func(int, int) string { return "" }, func(int) *relay.Link {
 		return relay.NewLink(relay.Rules{}, f.experiment.Seed)
 	})
 	if err != nil {
@@ -141,12 +143,12 @@
 	return err
 }
 
-// config is a sidecar's configuration.
+// config returns the configuration of a sidecar.
 func (f *processFleet) config(i int) map[string]any {
 	p := &f.plan.Sidecars[i]
-	config := testbed.BaseConfig(f.scenario, p.Seed, f.list.Addr(i), f.plan.Settings(i))
+	config := testbed.BaseConfig(f.scenario, p.Seed, f.discovery.Addr(i), f.plan.Settings(i))
 	config["name"] = p.Name
-	if f.section {
+	if f.withMembers {
 		members := membership.Section{Fleet: processFleetLabel, Bind: "127.0.0.1:0", Interval: f.experiment.Interval.String()}
 		if i < len(f.seeds) {
 			members.Bind = f.seeds[i]
@@ -157,7 +159,7 @@
 	return config
 }
 
-// measure sets what one sidecar uses in the mean over a window of time.
+// measure sets the mean CPU time and memory of a sidecar over a window of time in out.
 func (f *processFleet) measure(ctx context.Context, window time.Duration, out *ProcessResult) error {
 	before, err := f.totalUsage()
 	if err != nil {
@@ -177,7 +179,7 @@
 	return nil
 }
 
-// totalUsage sums the processor time and memory of all sidecars.
+// totalUsage returns the total CPU time and memory of all sidecars.
 func (f *processFleet) totalUsage() (sum process.Usage, err error) {
 	for _, c := range f.sidecars {
 		u, err := process.Measure(c.PID)
@@ -189,14 +191,15 @@
 	return sum, nil
 }
 
+// close ends the sidecars and the discovery service.
 func (f *processFleet) close() {
 	f.children.Close()
-	if f.list != nil {
-		f.list.Close()
+	if f.discovery != nil {
+		f.discovery.Close()
 	}
 }
 
-// awaitProcessAgreement waits until each process reports exactly the others as its members.
+// awaitProcessAgreement waits until each process reports exactly all processes as its members.
 func (m *Experiment) awaitProcessAgreement(ctx context.Context, sidecars []*testbed.Sidecar) error {
 	ctx, cancel := context.WithTimeout(ctx, m.EventTimeout)
 	defer cancel()
@@ -211,17 +214,17 @@
 			for i := range reports {
 				ids[i] = reports[i].Self
 			}
-			if err = disagreement(reports, ids); err == nil {
+			if err = checkAgreement(reports, ids); err == nil {
 				return nil
 			}
 		}
 		if !harness.Sleep(ctx, m.Interval/5) {
-			return fmt.Errorf("they do not agree: %w", err)
+			return fmt.Errorf("sidecars do not agree on the members: %w", err)
 		}
 	}
 }
 
-// fetchReport reads what a sidecar reports of its members.
+// fetchReport gets the members that a sidecar reports on its management address.
 func fetchReport(ctx context.Context, client *http.Client, management string, report *membership.Report) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+management+"/members", nil)
 	if err != nil {
@@ -233,7 +236,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("GET %s is answered %s", req.URL, resp.Status)
+		return fmt.Errorf("GET %s: unexpected status %s", req.URL, resp.Status)
 	}
 	return json.NewDecoder(resp.Body).Decode(report)
 }
--- a/internal/lab/members/network.go
+++ b/internal/lab/members/network.go
@@ -1,5 +1,5 @@
-// Package members is the membership of a run: the proxies between the members, the faults that are injected into them, a
-// poller for the view of each process, and the result of what the members knew of each other.
+// Package members runs the gossip network of a run. It puts proxies with faults between the members, polls the
+// membership view of each process, and computes the result from the recorded views.
 package members
 
 import (
@@ -22,78 +22,81 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// endpointAttempts is how often an address is tried that is free for connections and packets.
+// endpointAttempts is the maximum number of ports tried to find one that is free for both TCP and UDP.
 const endpointAttempts = 3
 
-// FleetLabel is the fleet that the members of a run belong to.
+// FleetLabel is the fleet name in the configuration of every member of a run.
 const FleetLabel = "lab"
 
-// Network is what lies between the members of a run: the sidecars, and after them the replicas of the registry. Each
-// process binds an address of its own and advertises that of an endpoint, which forwards packets and connections. An
-// endpoint knows the caller by its address, so faults can be injected between any two parties.
+// Network connects the members of a run. Its parties are the sidecars, followed by the replicas of the registry. Each
+// process binds an address of its own and advertises the address of an endpoint, which forwards packets and
+// connections. An endpoint identifies the caller by its source address, so faults can be injected between any two
+// parties.
 type Network struct {
-	run         *harness.Run
-	registry    *cluster.Cluster // nil: none of its replicas is a member
-	partyCount  int
-	partyByAddr map[string]int        // by the address that a party calls from
-	links       [][]*relay.Link       // of connections, by calling and called party
-	packets     [][]*relay.PacketLink // of packets, by sending and called party
-	blocked     *relay.PacketLink
+	run            *harness.Run
+	registry       *cluster.Cluster // nil: no replica is a member
+	partyCount     int
+	partyByAddr    map[string]int        // party number by source IP address
+	links          [][]*relay.Link       // for connections, by calling and called party
+	packetLinks    [][]*relay.PacketLink // for packets, by sending and receiving party
+	blockedPackets *relay.PacketLink     // drops packets from unknown addresses
 
 	mu           sync.Mutex
-	endpoints    [][]*Endpoint // of each party, the newest last
+	endpoints    [][]*Endpoint // by party, oldest first
 	activeFaults []*scenario.FaultPlan
 	lastSerial   uint64
-	serials      map[*process.Child]uint64 // their numbers
+	serials      map[*process.Child]uint64 // serial number of each polled process
 
 	ctx  context.Context
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 }
 
-// Endpoint is the advertised address of a process, or of several after each other that keep it.
+// Endpoint is the proxy at the advertised address of a process. Successive processes of a party may share an endpoint.
 type Endpoint struct {
 	party       int
-	bindAddr    string // where the process itself listens
+	bindAddr    string // where the process listens
 	proxy       *relay.Port
 	packetProxy *relay.PacketProxy
-	process     *process.Child // the process behind it
-	reservedFD  int            // while it refuses: a socket that keeps its port from other processes; -1: none
-	assigned    bool           // some process has had it
-	down        bool           // no process is behind it: its host refuses connections
+	process     *process.Child // the process behind the endpoint; nil before SetProcess
+	reservedFD  int            // socket that reserves the port while the endpoint refuses connections; -1: none
+	assigned    bool           // a process has been prepared for the endpoint
+	down        bool           // no process is behind the endpoint, so connections are refused
 }
 
-// Addr is the advertised address.
-func (f *Endpoint) Addr() string { return f.proxy.Addr(f.party) }
+// Addr returns the advertised address.
+func (e *Endpoint) Addr() string { return e.proxy.Addr(e.party) }
 
-// New opens an endpoint for the first process of each party, as the address of every seed is known before it starts.
+// New opens an endpoint for the first process of each party, because the seed addresses must be known before any
+// process starts.
 func New(r *harness.Run) (*Network, error) {
-	m := &Network{run: r, partyCount: len(r.Plan.Sidecars) + r.Scenario.Discovery.RegistryReplicas, partyByAddr: map[string]int{},
-		blocked: relay.NewPacketLink(relay.PacketRules{Cut: relay.Both}, 0), serials: map[*process.Child]uint64{}}
-	m.ctx, m.stop = context.WithCancel(context.Background())
-	m.endpoints = make([][]*Endpoint, m.partyCount)
-	for i := range m.partyCount {
-		m.partyByAddr[relay.CallerAddr(i)] = i
+	network := &Network{run: r, partyCount: len(r.Plan.Sidecars) + r.Scenario.Discovery.RegistryReplicas, partyByAddr: map[string]int{},
+		blockedPackets: relay.NewPacketLink(relay.PacketRules{Cut: relay.Both}, 0), serials: map[*process.Child]uint64{}}
+	network.ctx, network.stop = context.WithCancel(context.Background())
+	network.endpoints = make([][]*Endpoint, network.partyCount)
+	for i := range network.partyCount {
+		network.partyByAddr[relay.CallerAddr(i)] = i
 		var links []*relay.Link
 		var packets []*relay.PacketLink
-		for j := range m.partyCount {
-			seed := r.Plan.Seed ^ uint64(i*m.partyCount+j)<<20
-			rules := relay.Rules{Latency: m.latencyBetween(i, j), Jitter: r.Scenario.Network.Jitter}
+		for j := range network.partyCount {
+			seed := r.Plan.Seed ^ uint64(i*network.partyCount+j)<<20
+			rules := relay.Rules{Latency: network.latencyBetween(i, j), Jitter: r.Scenario.Network.Jitter}
 			links = append(links, relay.NewLink(rules, seed))
 			packets = append(packets, relay.NewPacketLink(relay.PacketRules{Latency: rules.Latency, Jitter: rules.Jitter}, seed))
 		}
-		m.links, m.packets = append(m.links, links), append(m.packets, packets)
+		network.links, network.packetLinks = append(network.links, links), append(network.packetLinks, packets)
 	}
-	for i := range m.partyCount {
-		if _, err := m.openEndpoint(i, true); err != nil {
-			m.Close()
+	for i := range network.partyCount {
+		if _, err := network.openEndpoint(i, true); err != nil {
+			network.Close()
 			return nil, err
 		}
 	}
-	return m, nil
+	return network, nil
 }
 
-// latencyBetween is the time one way between two parties without faults. The replicas of the registry are near all.
+// latencyBetween returns the one-way latency between two parties without faults. The replicas of the registry are
+// treated as in the same zone as every party.
 func (m *Network) latencyBetween(i, j int) time.Duration {
 	s, n := m.run.Scenario, len(m.run.Plan.Sidecars)
 	if i >= n || j >= n {
@@ -102,130 +105,133 @@
 	return s.Network.Latency(m.run.Plan.Sidecars[i].Zone, m.run.Plan.Sidecars[j].Zone).Duration()
 }
 
-// openEndpoint makes an endpoint. One that is down refuses connections until a process has been prepared.
-func (m *Network) openEndpoint(party int, dead bool) (*Endpoint, error) {
+// openEndpoint opens an endpoint for a party. If down is set, it refuses connections until Prepare is called.
+func (m *Network) openEndpoint(party int, down bool) (*Endpoint, error) {
 	var err error
 	for range endpointAttempts {
-		f := &Endpoint{party: party, down: dead, reservedFD: -1}
-		if f.bindAddr, err = harness.FreeMemberAddr(relay.CallerAddr(party)); err != nil {
+		endpoint := &Endpoint{party: party, down: down, reservedFD: -1}
+		if endpoint.bindAddr, err = harness.FreeMemberAddr(relay.CallerAddr(party)); err != nil {
 			return nil, err
 		}
-		f.proxy, err = relay.ForwardBySource(func(from int) *relay.Link {
+		endpoint.proxy, err = relay.ForwardBySource(func(from int) *relay.Link {
 			if from >= m.partyCount {
 				return nil
 			}
 			return m.links[from][party]
-		}, func() string { return f.bindAddr })
+		}, func() string { return endpoint.bindAddr })
 		if err != nil {
 			return nil, err
 		}
-		f.packetProxy, err = relay.ForwardPackets(f.Addr(), f.bindAddr, func(from *net.UDPAddr) *relay.PacketLink {
+		endpoint.packetProxy, err = relay.ForwardPackets(endpoint.Addr(), endpoint.bindAddr, func(from *net.UDPAddr) *relay.PacketLink {
 			if n, ok := m.partyByAddr[from.IP.String()]; ok {
-				return m.packets[n][party]
+				return m.packetLinks[n][party]
 			}
-			return m.blocked
+			return m.blockedPackets
 		})
-		if err != nil { // somebody has the port for packets
-			f.proxy.Close()
+		if err != nil { // another socket has the UDP port
+			endpoint.proxy.Close()
 			continue
 		}
 		m.mu.Lock()
-		m.endpoints[party] = append(m.endpoints[party], f)
-		err = m.updateListener(f)
+		m.endpoints[party] = append(m.endpoints[party], endpoint)
+		err = m.updateListener(endpoint)
 		m.mu.Unlock()
-		return f, err
+		return endpoint, err
 	}
-	return nil, fmt.Errorf("lab: no address for member %d: %w", party, err)
+	return nil, fmt.Errorf("lab: open endpoint of member %d: no port free for both TCP and UDP: %w", party, err)
 }
 
-// newestEndpoint is that of the newest process of a party.
+// newestEndpoint returns the endpoint that was opened last for a party.
 func (m *Network) newestEndpoint(party int) *Endpoint {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.endpoints[party][len(m.endpoints[party])-1]
 }
 
-// Prepare gives the endpoint for the next process of a party, and lets it forward.
+// Prepare returns the endpoint for the next process of a party and enables forwarding. It opens a new endpoint unless
+// the party keeps its address.
 func (m *Network) Prepare(party int) (*Endpoint, error) {
-	f := m.newestEndpoint(party)
+	endpoint := m.newestEndpoint(party)
 	m.mu.Lock()
-	usable := f.down && (!f.assigned || m.run.Scenario.Members != nil && m.run.Scenario.Members.KeepAddress || party >= len(m.run.Plan.Sidecars))
+	usable := endpoint.down && (!endpoint.assigned || m.run.Scenario.Members != nil && m.run.Scenario.Members.KeepAddress || party >= len(m.run.Plan.Sidecars))
 	m.mu.Unlock()
 	if !usable {
 		var err error
-		if f, err = m.openEndpoint(party, false); err != nil {
+		if endpoint, err = m.openEndpoint(party, false); err != nil {
 			return nil, err
 		}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f.assigned, f.down, f.process = true, false, nil
-	return f, m.updateListener(f)
+	endpoint.assigned, endpoint.down, endpoint.process = true, false, nil
+	return endpoint, m.updateListener(endpoint)
 }
 
-// SetProcess says which process is behind an endpoint.
-func (m *Network) SetProcess(f *Endpoint, c *process.Child) {
+// SetProcess sets the process behind an endpoint.
+func (m *Network) SetProcess(endpoint *Endpoint, c *process.Child) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f.process = c
+	endpoint.process = c
 }
 
-// ProcessEnded lets an endpoint refuse connections, as the host of a process that has ended does. Nothing changes where a
-// later process has the endpoint by now.
-func (m *Network) ProcessEnded(f *Endpoint, c *process.Child) {
+// ProcessEnded makes an endpoint refuse connections, as the host of an ended process does. It does nothing if a later
+// process has taken over the endpoint.
+func (m *Network) ProcessEnded(endpoint *Endpoint, c *process.Child) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if f.process != c {
+	if endpoint.process != c {
 		return
 	}
-	f.down = true
-	if err := m.updateListener(f); err != nil {
+	endpoint.down = true
+	if err := m.updateListener(endpoint); err != nil {
 		m.run.Fail(err)
 	}
 }
 
-// updateListener opens, closes or cuts the listener of an endpoint as the faults and its process demand; m.mu is held.
+// updateListener opens, closes or cuts the listener of an endpoint according to the active faults and the state of its
+// process. The caller holds m.mu.
 //
-// Only a whole listener can refuse, so a refusal waits while somebody is cut off from the endpoint: it would reach through
-// the cut. Others are accepted and reset meanwhile, which proves nothing to them.
-func (m *Network) updateListener(f *Endpoint) error {
+// A listener can only refuse the connections of all parties. While a party is cut off, a refusal would reach it through
+// the cut, so refusing is deferred until no cut is active. Meanwhile, connections of other parties are accepted and
+// reset, which is no proof to them that the process has ended.
+func (m *Network) updateListener(endpoint *Endpoint) error {
 	if m.ctx.Err() != nil {
 		return nil
 	}
 	var cut []int
 	for i := range m.partyCount {
-		if m.links[i][f.party].Rules().Cut != 0 {
+		if m.links[i][endpoint.party].Rules().Cut != 0 {
 			cut = append(cut, i)
 		}
 	}
-	if (f.down || m.rejectsCalls(f.party)) && len(cut) == 0 {
-		f.proxy.Kill()
-		f.reservePort()
+	if (endpoint.down || m.rejectsCalls(endpoint.party)) && len(cut) == 0 {
+		endpoint.proxy.Kill()
+		endpoint.reservePort()
 		return nil
 	}
-	f.releasePort()
-	if err := f.proxy.Open(); err != nil {
+	endpoint.releasePort()
+	if err := endpoint.proxy.Open(); err != nil {
 		return err
 	}
 	for i := range m.partyCount {
-		do := f.proxy.Heal
+		apply := endpoint.proxy.Heal
 		if slices.Contains(cut, i) {
-			do = f.proxy.Cut
+			apply = endpoint.proxy.Cut
 		}
-		if err := do(i); err != nil {
+		if err := apply(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// reservePort keeps the port of an endpoint that does not listen: calls are refused as before. While old connections
-// linger it cannot be kept, and need not be.
-func (f *Endpoint) reservePort() {
-	if f.reservedFD >= 0 {
+// reservePort binds the port of an endpoint that does not listen, so that no other process gets the port and
+// connections are still refused. While old connections linger, bind fails and is not needed.
+func (e *Endpoint) reservePort() {
+	if e.reservedFD >= 0 {
 		return
 	}
-	_, port, _ := net.SplitHostPort(f.Addr()) // it was formatted by the proxy
+	_, port, _ := net.SplitHostPort(e.Addr()) // the proxy formatted the address
 	n, _ := strconv.Atoi(port)
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -235,23 +241,25 @@
 		unix.Close(fd)
 		return
 	}
-	f.reservedFD = fd
+	e.reservedFD = fd
 }
 
-func (f *Endpoint) releasePort() {
-	if f.reservedFD >= 0 {
-		unix.Close(f.reservedFD)
-		f.reservedFD = -1
+// releasePort undoes reservePort.
+func (e *Endpoint) releasePort() {
+	if e.reservedFD >= 0 {
+		unix.Close(e.reservedFD)
+		e.reservedFD = -1
 	}
 }
 
+// rejectsCalls reports whether an active fault makes a party refuse connections. The caller holds m.mu.
 func (m *Network) rejectsCalls(party int) bool {
 	return slices.ContainsFunc(m.activeFaults, func(p *scenario.FaultPlan) bool {
 		return p.Fault.Kind == "members-refuse" && slices.Contains(p.Sidecars, party)
 	})
 }
 
-// SetFault begins or ends a fault between members.
+// SetFault starts a fault between members if on is set, and ends it otherwise.
 func (m *Network) SetFault(p *scenario.FaultPlan, on bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -275,58 +283,58 @@
 	return failed
 }
 
-// updateLinks sets the links from one party to another by all active faults; m.mu is held.
+// updateLinks applies all active faults to the links from party i to party j. The caller holds m.mu.
 func (m *Network) updateLinks(i, j int) {
-	var calls relay.Direction // that are silent, of connections from i to j
-	lost, reject := false, false
-	lose, slow := 0.0, time.Duration(0)
+	var cut relay.Direction // directions cut, of connections from i to j
+	packetsCut, reject := false, false
+	packetLoss, extraLatency := 0.0, time.Duration(0)
 	for _, p := range m.activeFaults {
 		from, to := slices.Contains(p.Sidecars, i), slices.Contains(p.Sidecars, j)
 		switch f := p.Fault; {
 		case f.Kind == "members-lose" && (from || to):
-			lose = max(lose, f.Size)
+			packetLoss = max(packetLoss, f.Size)
 		case f.Kind == "members-slow" && (from || to):
-			slow = max(slow, f.Latency.Duration())
+			extraLatency = max(extraLatency, f.Latency.Duration())
 		case from == to:
 		case f.Kind == "members-refuse":
-			lost = true
-			if reject = reject || to; from { // only the host itself refuses: the process behind it gets nothing
-				calls = relay.Both
+			packetsCut = true
+			if reject = reject || to; from { // the host refuses connections to the party; the party's own are cut
+				cut = relay.Both
 			}
 		case f.Kind != "members-cut":
 		case f.Direction == "in":
-			if lost = lost || to; to {
-				calls = relay.Both
+			if packetsCut = packetsCut || to; to {
+				cut = relay.Both
 			}
 		default:
-			// What comes to those who are cut off is lost, or what they send, or both; of a connection that is its
-			// one way or the other.
+			// The cut drops what is sent to the cut-off parties, what they send, or both. For a connection, these are
+			// its two directions.
 			if to && f.Direction != "from" || from && f.Direction != "to" {
-				lost, calls = true, calls|relay.To
+				packetsCut, cut = true, cut|relay.To
 			}
 			if to && f.Direction != "to" || from && f.Direction != "from" {
-				calls |= relay.From
+				cut |= relay.From
 			}
 		}
 	}
 	m.links[i][j].Set(func(r *relay.Rules) {
-		r.Cut, r.Reject, r.Latency = calls, reject, m.latencyBetween(i, j)+slow
+		r.Cut, r.Reject, r.Latency = cut, reject, m.latencyBetween(i, j)+extraLatency
 	})
-	m.packets[i][j].Set(func(r *relay.PacketRules) {
-		if r.Cut, r.PacketLoss, r.Latency = 0, lose, m.latencyBetween(i, j)+slow; lost {
+	m.packetLinks[i][j].Set(func(r *relay.PacketRules) {
+		if r.Cut, r.PacketLoss, r.Latency = 0, packetLoss, m.latencyBetween(i, j)+extraLatency; packetsCut {
 			r.Cut = relay.Both
 		}
 	})
 }
 
-// Section is the section members of the configuration of a party; nil: it has none.
-func (m *Network) Section(party int) map[string]any {
+// ConfigSection returns the [members] section of a party's configuration; nil if the party is not a member.
+func (m *Network) ConfigSection(party int) map[string]any {
 	s := m.run.Scenario
 	if party < len(m.run.Plan.Sidecars) && !s.InMembership(party) {
 		return nil
 	}
-	f := m.newestEndpoint(party)
-	out := map[string]any{"fleet": FleetLabel, "bind": f.bindAddr, "advertise": f.Addr()}
+	endpoint := m.newestEndpoint(party)
+	section := map[string]any{"fleet": FleetLabel, "bind": endpoint.bindAddr, "advertise": endpoint.Addr()}
 	var seeds []string
 	for _, i := range m.run.Plan.Seeds {
 		if i != party {
@@ -334,39 +342,39 @@
 		}
 	}
 	if len(seeds) > 0 {
-		out["seeds"] = seeds
+		section["seeds"] = seeds
 	}
 	if s.Members.ProbeInterval > 0 {
-		out["interval"] = s.Members.ProbeInterval.Duration().String()
+		section["interval"] = s.Members.ProbeInterval.Duration().String()
 	}
 	if s.Members.AdmitWithin > 0 {
-		out["admit_within"] = s.Members.AdmitWithin.Duration().String()
+		section["admit_within"] = s.Members.AdmitWithin.Duration().String()
 	}
 	if s.Members.TrustRefusals != nil {
-		out["believe_refused"] = *s.Members.TrustRefusals
+		section["believe_refused"] = *s.Members.TrustRefusals
 	}
 	if d := s.Members.Defect; d != "" && party < len(m.run.Plan.Sidecars) {
-		out["defect"] = d
+		section["defect"] = d
 	}
-	return out
+	return section
 }
 
-// StartReplicas turns membership on in the replicas of the registry, which run already: one after another is started again
-// with its section, as an operator would do it.
+// StartReplicas enables membership in the running replicas of the registry. As an operator would, it adds the section
+// to the configuration of one replica after another and restarts the replica.
 func (m *Network) StartReplicas(ctx context.Context, registry *cluster.Cluster) error {
 	m.registry = registry
 	for k, c := range m.registry.Replicas {
 		party := len(m.run.Plan.Sidecars) + k
-		f, err := m.Prepare(party)
+		endpoint, err := m.Prepare(party)
 		if err != nil {
 			return err
 		}
-		text, err := toml.Marshal(map[string]any{"members": m.Section(party)})
+		text, err := toml.Marshal(map[string]any{"members": m.ConfigSection(party)})
 		if err != nil {
-			return fmt.Errorf("copy %s: %w", c.Name, err)
+			return fmt.Errorf("replica %s: marshal members section: %w", c.Name, err)
 		}
 		if err := c.AppendConfig(text); err != nil {
-			return fmt.Errorf("copy %s: %w", c.Name, err)
+			return fmt.Errorf("replica %s: append members section: %w", c.Name, err)
 		}
 		c.Process().Kill()
 		if err := m.registry.Launch(ctx, c); err != nil {
@@ -375,13 +383,13 @@
 		if err := m.registry.AwaitLeader(ctx); err != nil {
 			return err
 		}
-		m.wg.Go(func() { m.followReplica(f, c) })
+		m.wg.Go(func() { m.followReplica(endpoint, c) })
 	}
 	return nil
 }
 
-// followReplica polls the processes of a replica of the registry, which faults of other kinds end and start.
-func (m *Network) followReplica(f *Endpoint, c *cluster.Replica) {
+// followReplica polls the successive processes of a registry replica, which faults of other kinds may restart.
+func (m *Network) followReplica(endpoint *Endpoint, c *cluster.Replica) {
 	var last *process.Child
 	for m.ctx.Err() == nil {
 		p := c.Process()
@@ -390,27 +398,27 @@
 			continue
 		}
 		m.mu.Lock()
-		dead := f.down
+		down := endpoint.down
 		m.mu.Unlock()
-		if last = p; dead {
+		if last = p; down {
 			var err error
-			if f, err = m.Prepare(f.party); err != nil {
+			if endpoint, err = m.Prepare(endpoint.party); err != nil {
 				m.run.Fail(err)
 				return
 			}
 		}
-		m.SetProcess(f, p)
-		m.pollProcess(f, p, c.Address)
+		m.SetProcess(endpoint, p)
+		m.pollProcess(endpoint, p, c.Address)
 	}
 }
 
-// StopPolling stops the pollers. The endpoints stay.
+// StopPolling stops the pollers and waits for them. The endpoints stay open.
 func (m *Network) StopPolling() {
 	m.stop()
 	m.wg.Wait()
 }
 
-// Close ends the pollers and closes the endpoints.
+// Close stops the pollers and closes the endpoints.
 func (m *Network) Close() {
 	m.StopPolling()
 	for _, all := range m.endpoints {
--- a/internal/lab/response_proxy.go
+++ b/internal/lab/response_proxy.go
@@ -25,7 +25,7 @@
 
 // openResponseProxy opens a proxy that forwards connections to the sidecar at target.
 func openResponseProxy(target string) (*responseProxy, error) {
-	l, err := net.Listen("tcp4", harness.HostOf(target)+":0")
+	l, err := net.Listen("tcp4", harness.Host(target)+":0")
 	if err != nil {
 		return nil, fmt.Errorf("lab: open response proxy: %w", err)
 	}
--- a/internal/lab/rollouts/result.go
+++ b/internal/lab/rollouts/result.go
@@ -10,31 +10,31 @@
 	"marblelane/internal/lab/report"
 )
 
-// firstPermissionTime is how long sidecars may take to ask for their first permission after the first table.
+// firstPermissionTime is the time that sidecars may take after the first table to request their first permission.
 const firstPermissionTime = time.Second
 
-// Result is what became of the rollouts.
-func (o *Driver) Result(all []record.Event, facts *invariant.Routes, v *invariant.Verdict) *report.RoutesResult {
-	out := &report.RoutesResult{AuditAnswers: o.auditQueries, Verdicts: map[string]int{}, Revisions: len(o.revisions), Missed: o.failures}
-	for _, a := range o.answers {
-		out.Verdicts[string(a.Verdict)]++
+// Result computes the outcome of the rollouts from the records and the verdict of the invariants.
+func (d *Driver) Result(all []record.Event, facts *invariant.Routes, v *invariant.Verdict) *report.RoutesResult {
+	result := &report.RoutesResult{AuditAnswers: d.auditQueries, Verdicts: map[string]int{}, Revisions: len(d.revisions), Missed: d.failures}
+	for _, a := range d.auditAnswers {
+		result.Verdicts[string(a.Verdict)]++
 	}
-	for i := range o.run.Scenario.Rollouts {
-		p := &o.run.Scenario.Rollouts[i]
-		one := report.RolloutResult{Name: p.Name, Tenant: p.Tenant, Phase: o.finalPhases[i], Step: o.views[i].Step, Reason: o.views[i].Why, Budget: p.Budget, Spent: o.views[i].Spent}
-		if o.rejections[i] != "" {
-			one.Phase, one.Reason = "refused", o.rejections[i]
+	for i := range d.run.Scenario.Rollouts {
+		p := &d.run.Scenario.Rollouts[i]
+		one := report.RolloutResult{Name: p.Name, Tenant: p.Tenant, Phase: d.finalPhases[i], Step: d.rolloutViews[i].Step, Reason: d.rolloutViews[i].Why, Budget: p.Budget, Spent: d.rolloutViews[i].Spent}
+		if d.rejections[i] != "" {
+			one.Phase, one.Reason = "refused", d.rejections[i]
 		}
 		if i < len(v.Failures) {
 			one.Failures = v.Failures[i]
 		}
-		out.Rollouts = append(out.Rollouts, one)
+		result.Rollouts = append(result.Rollouts, one)
 	}
-	o.countFractions(out, all, facts)
-	return out
+	d.countFractions(result, all, facts)
+	return result
 }
 
-// publishedStep is the fraction of a step as a table published it.
+// publishedStep is a step of a rollout with the canary fraction that a table published for it.
 type publishedStep struct {
 	rollout, step int
 	fraction      float64
@@ -43,15 +43,16 @@
 // fractionCount counts the first attempts of requests by the canary fractions of their revision.
 type fractionCount struct {
 	published map[int64][]publishedStep // by revision
-	running   map[int]invariant.Span    // by tenant, while a rollout is under way
+	running   map[int]invariant.Span    // by tenant: the span in which a rollout is running
 	closed    int64
 }
 
-func (o *Driver) countFractions(out *report.RoutesResult, events []record.Event, facts *invariant.Routes) {
-	c := &fractionCount{published: map[int64][]publishedStep{}, running: map[int]invariant.Span{}}
-	c.readTables(events, facts)
-	out.Closed = max(out.Closed, c.closed)
-	out.UnleasedFraction = o.heldFraction(c.running, events)
+// countFractions adds the measured canary fraction of each step to the result, and the fraction of held attempts.
+func (d *Driver) countFractions(result *report.RoutesResult, events []record.Event, facts *invariant.Routes) {
+	counter := &fractionCount{published: map[int64][]publishedStep{}, running: map[int]invariant.Span{}}
+	counter.readTables(events, facts)
+	result.Closed = max(result.Closed, counter.closed)
+	result.UnleasedFraction = d.heldFraction(counter.running, events)
 	sums := map[publishedStep]*report.StepFraction{}
 	counted := map[uint64]bool{} // requests whose first attempt was counted
 	for i := range events {
@@ -60,24 +61,24 @@
 			continue
 		}
 		counted[e.Request] = true
-		for _, t := range c.published[e.Rev] {
-			if r := &facts.Rollouts[t.rollout]; r.Tenant == int(e.Tenant) && r.Classes[e.Class] {
-				addAttempt(sums, t, e.Canary)
+		for _, step := range counter.published[e.Rev] {
+			if r := &facts.Rollouts[step.rollout]; r.Tenant == int(e.Tenant) && r.Classes[e.Class] {
+				addAttempt(sums, step, e.Canary)
 				if e.Canary {
-					out.Rollouts[t.rollout].CanaryAttempts++
+					result.Rollouts[step.rollout].CanaryAttempts++
 				}
 			}
 		}
 	}
-	for t, s := range sums {
-		s.Measured /= float64(s.Attempts)
-		r := &out.Rollouts[t.rollout]
-		r.Steps = append(r.Steps, *s)
+	for t, fraction := range sums {
+		fraction.Measured /= float64(fraction.Attempts)
+		r := &result.Rollouts[t.rollout]
+		r.Steps = append(r.Steps, *fraction)
 		slices.SortFunc(r.Steps, func(a, b report.StepFraction) int { return a.Step - b.Step })
 	}
 }
 
-// addAttempt counts an attempt under the first fraction that was published of its step.
+// addAttempt counts an attempt for its step, with the first fraction published for the step.
 func addAttempt(sums map[publishedStep]*report.StepFraction, t publishedStep, canary bool) {
 	key := publishedStep{rollout: t.rollout, step: t.step}
 	s := sums[key]
@@ -91,7 +92,8 @@
 	}
 }
 
-// readTables reads which fractions were published under which revision, and when the rollouts of each tenant were under way.
+// readTables reads the fractions published with each revision and the span in which each tenant's rollouts were
+// running.
 func (c *fractionCount) readTables(events []record.Event, facts *invariant.Routes) {
 	for i := range events {
 		switch e := &events[i]; e.Kind {
@@ -117,13 +119,13 @@
 	}
 }
 
-// heldFraction is the fraction of attempts without permission while a rollout of their tenant was under way.
-func (o *Driver) heldFraction(running map[int]invariant.Span, events []record.Event) float64 {
+// heldFraction returns the fraction of attempts sent without permission while a rollout of their tenant was running.
+func (d *Driver) heldFraction(running map[int]invariant.Span, events []record.Event) float64 {
 	held, attempts := 0, 0
 	for i := range events {
 		e := &events[i]
 		span, ok := running[int(e.Tenant)]
-		if e.Kind != record.FirstByte || !ok || e.T < span.From || span.To < e.T || o.run.Scenario.RunsOlderProgram(int(e.Sidecar)) {
+		if e.Kind != record.FirstByte || !ok || e.T < span.From || span.To < e.T || d.run.Scenario.RunsOlderProgram(int(e.Sidecar)) {
 			continue
 		}
 		if attempts++; e.Rev == 0 {
--- a/internal/lab/rollouts/rollback_defect.go
+++ b/internal/lab/rollouts/rollback_defect.go
@@ -5,29 +5,30 @@
 	"sync"
 )
 
-// RollbackDefect plays a registry whose new leader has forgotten a rollback: from the first table without the canary of a
-// rollout on, sidecars are sent the former canary under the new revision. It rewrites lines in the proxy, as the other
-// planted defects do.
+// RollbackDefect simulates a registry whose new leader has lost a rollback. From the first table without the canary of
+// a rollout on, sidecars are sent the former canary under the new revision. Like the other planted defects, it rewrites
+// lines in the proxy.
 type RollbackDefect struct {
 	mu         sync.Mutex
-	lastCanary map[string]json.RawMessage // the route of each tenant that had a canary
+	lastCanary map[string]json.RawMessage // last route with a canary, by tenant
 }
 
-// NewRollbackDefect is a defect that has seen no table.
+// NewRollbackDefect returns a defect that has seen no table.
 func NewRollbackDefect() *RollbackDefect {
 	return &RollbackDefect{lastCanary: map[string]json.RawMessage{}}
 }
 
-// Rewrite is the line that the sidecar is sent in place of a line of the registry.
-func (u *RollbackDefect) Rewrite(line []byte) []byte {
-	var t map[string]json.RawMessage
+// Rewrite returns the line to send to the sidecar in place of a line of the registry. A line that is not a route table
+// is returned unchanged.
+func (d *RollbackDefect) Rewrite(line []byte) []byte {
+	var table map[string]json.RawMessage
 	var routes []json.RawMessage
-	if json.Unmarshal(line, &t) != nil || t["routes"] == nil || json.Unmarshal(t["routes"], &routes) != nil {
+	if json.Unmarshal(line, &table) != nil || table["routes"] == nil || json.Unmarshal(table["routes"], &routes) != nil {
 		return line
 	}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	there := map[string]bool{}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	present := map[string]bool{}
 	for i, text := range routes {
 		var one struct {
 			Tenant   string  `json:"tenant"`
@@ -36,28 +37,28 @@
 		if json.Unmarshal(text, &one) != nil {
 			return line
 		}
-		there[one.Tenant] = true
+		present[one.Tenant] = true
 		if one.Fraction > 0 {
-			var free map[string]any // of the budget: the true service grants nothing for it any more
-			if json.Unmarshal(text, &free) != nil {
+			var withoutBudget map[string]any // the real service no longer grants budget for the rollout
+			if json.Unmarshal(text, &withoutBudget) != nil {
 				return line
 			}
-			delete(free, "budget")
-			u.lastCanary[one.Tenant], _ = json.Marshal(free) // what was read can be written
-		} else if old := u.lastCanary[one.Tenant]; old != nil {
-			routes[i] = old
+			delete(withoutBudget, "budget")
+			d.lastCanary[one.Tenant], _ = json.Marshal(withoutBudget) // cannot fail: the value was decoded from JSON
+		} else if former := d.lastCanary[one.Tenant]; former != nil {
+			routes[i] = former
 		}
 	}
-	for tenant, old := range u.lastCanary {
-		if !there[tenant] {
+	for tenant, old := range d.lastCanary {
+		if !present[tenant] {
 			routes = append(routes, old)
 		}
 	}
 	var err error
-	if t["routes"], err = json.Marshal(routes); err != nil {
+	if table["routes"], err = json.Marshal(routes); err != nil {
 		return line
 	}
-	text, err := json.Marshal(t)
+	text, err := json.Marshal(table)
 	if err != nil {
 		return line
 	}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -115,7 +115,7 @@
 	if o := r.rollouts.Load(); o != nil {
 		routes = o.Facts()
 	}
-	rep := report.New(r.Plan, events, r.workDone, routes, r.Spans(timers.Stalls))
+	rep := report.New(r.Plan, events, r.workDone, routes, r.StallSpans(timers.Stalls))
 	if r.members != nil { // before the expectations, which require that some invariants were checked at least once
 		facts := r.members.Facts()
 		invariant.CheckMembers(events, facts, rep.Verdict)
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -31,7 +31,7 @@
 }
 
 // note records an event of the sidecar's process.
-func (s *sidecar) note(text string) { s.run.Note(record.Process, s.number, record.None, text) }
+func (s *sidecar) note(text string) { s.run.RecordNote(record.Process, s.number, record.None, text) }
 
 // freeze suspends the process, or resumes it.
 func (s *sidecar) freeze(on bool) error {
