--- a/cmd/marblelane/main_test.go
+++ b/cmd/marblelane/main_test.go
@@ -89,7 +89,7 @@
 	cmd := marblelane("--log-level", "info", "lab", "run", scenario)
 	out := &bytes.Buffer{}
 	cmd.Stdout = out
-	startUntil(t, cmd, cmd.StderrPipe, "all parties are up")
+	startUntil(t, cmd, cmd.StderrPipe, "all parties started")
 	children := childrenOf(t, cmd.Process.Pid)
 	if len(children) != 2 {
 		t.Fatalf("children are %v, want 2", children)
