--- a/internal/lab/invariant/invariant.go
+++ b/internal/lab/invariant/invariant.go
@@ -435,9 +435,8 @@
 			case Ended, Crashed:
 				running[e.Sidecar]--
 			case Serving:
-				// A process that replaces none knows only what it was notified of since its start. In an upgrade two
-				// processes make up the sidecar: what the old one knows still holds, and the grace starts again when the
-				// new one is ready.
+				// Without a predecessor, a process knows only the notices since its start. At an upgrade, notices to
+				// the old process still hold, and the grace starts again when the new one is ready.
 				for key, graceFrom := range notifiedAt {
 					if key.sidecar != e.Sidecar {
 						continue
--- a/internal/lab/rollouts/driver.go
+++ b/internal/lab/rollouts/driver.go
@@ -384,8 +384,7 @@
 	auditWindows        = 6                // random time windows queried for each revision
 )
 
-// Collect reads the final phases of the rollouts and queries the audit. It is called after the end of the traffic,
-// while the sidecars still run.
+// Collect reads the final phases of the rollouts and queries the audit. The traffic must have ended, the sidecars not.
 func (d *Driver) Collect(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
