--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	// lateResponseGrace is how long after the timeout of its attempt a client still reads. A response within it is
-	// recorded as late. If there is none, a NoResponse event is recorded.
+	// lateResponseGrace is how long after the timeout of its attempt a client still reads. A response within this
+	// time is recorded as late. Without a response, a NoResponse event is recorded.
 	lateResponseGrace = 500 * time.Millisecond
 	// maxIdle is how long a connection may be idle before it is discarded.
 	maxIdle     = 30 * time.Second
@@ -75,8 +75,8 @@
 	Requests *RequestLog
 	// Addr returns the address where the clients of a sidecar connect at this moment.
 	Addr func(sidecar int) string
-	// DialsBlocked reports whether a sidecar's clients must not open connections at this moment. While it does, they
-	// use their open connections round-robin, so that each is exercised. If nil, clients may always open connections.
+	// DialsBlocked reports whether a sidecar's clients must not open connections at this moment. While it reports
+	// true, they use their open connections round-robin, so that each is exercised. nil: they may always open them.
 	DialsBlocked func(sidecar int) bool
 
 	pools    []pool
@@ -123,7 +123,7 @@
 
 // attemptResult is the outcome of an attempt, as its client sees it.
 type attemptResult struct {
-	status     int // 0: no response
+	status     int // status code of the response; 0: no response
 	retryAfter time.Duration
 	notSent    bool // no connection could be opened or the request could not be written
 }
@@ -171,7 +171,7 @@
 	arrivalIndex, attemptNumber int
 	id                          uint64
 	timeout, leaveAfter         time.Duration
-	leaveRequested              atomic.Bool // set by LeaveEarly
+	leaveRequested              atomic.Bool // whether LeaveEarly has made the client leave
 }
 
 // timeoutMS returns the value of X-Timeout-Ms, in milliseconds.
@@ -199,7 +199,7 @@
 	head := fmt.Appendf(nil, "%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Tenant-Id: %s\r\nX-Timeout-Ms: %d\r\n",
 		method, t.id, class.Name, s.Tenants[t.arrival.Tenant].Name, t.timeoutMS())
 	if s.HasRoutes() && !t.arrival.Keyless {
-		head = fmt.Appendf(head, "X-Route-Key: %016x\r\n", t.arrival.Seed) // the same for all attempts of a request
+		head = fmt.Appendf(head, "X-Route-Key: %016x\r\n", t.arrival.Seed) // the same key for all attempts of a request
 	}
 	if body != nil {
 		head = fmt.Appendf(head, "Content-Length: %d\r\n", len(body))
--- a/internal/lab/cluster/clients.go
+++ b/internal/lab/cluster/clients.go
@@ -28,8 +28,8 @@
 // between calls.
 func (c *Cluster) writer(ctx context.Context, number int) {
 	rng := rand.New(rand.NewPCG(c.Plan.Seed, uint64(number)+1))
-	lastRevs := map[string]int64{}       // by entry: its revision after the last successful call; 0: it does not exist
-	firstReads := map[string]operation{} // by entry: its first successful read, which the planted defect returns again
+	lastRevs := map[string]int64{}       // revision of each entry after the last successful call; 0: no such entry
+	firstReads := map[string]operation{} // first successful read of each entry, which the planted defect returns again
 	for ctx.Err() == nil {
 		key := fmt.Sprint("s-", rng.IntN(c.config.Entries))
 		op := operation{key: key, client: number, kind: opWrite, condition: -1}
@@ -99,7 +99,7 @@
 	if err != nil {
 		op.outcome = outcomeUnknown
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			op.outcome = outcomeNotApplied // no replica was reached; one that redirected the call has not applied it
+			op.outcome = outcomeNotApplied // no replica reached; a replica that redirected the call has not applied it
 		}
 		return
 	}
@@ -170,7 +170,7 @@
 	mu        sync.Mutex
 	list      map[string]state.Entry
 	rev       int64
-	firstSeen []ackedWrite // each received revision and when it arrived (in acknowledged)
+	firstSeen []ackedWrite // each received revision, with its time of arrival in acknowledged
 }
 
 // watchSilenceTimeout is how long a watch may be silent before its watcher calls a random replica again. Replicas send
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -32,7 +32,7 @@
 	*harness.Run
 	Replicas []*Replica
 	config   *scenario.Registry
-	links    [][]*relay.Link // by number of the calling and of the called replica
+	links    [][]*relay.Link // links by number of the calling and of the called replica
 
 	// The planted defects that are turned on.
 	dropsWatchLines  atomic.Bool
@@ -44,24 +44,24 @@
 	acknowledged   []ackedWrite
 	faultStarts    []time.Duration
 	reads          []listRead
-	failedReads    int // reads that no replica responded to
+	failedReads    int // number of reads that no replica responded to
 	restartDelays  []time.Duration
 	diskRecoveries []time.Duration
-	diskChecks     int              // cases that disk-honest was checked on: replicas whose disk failed
-	listHashes     map[int64]uint64 // by revision: the hash of the first watcher's list
+	diskChecks     int              // number of replicas with a failed disk on which disk-honest was checked
+	listHashes     map[int64]uint64 // hash of the first watcher's list at each revision
 	breaches       []invariant.Breach
-	breachCounts   map[string]int // by invariant
+	breachCounts   map[string]int // number of breaches of each invariant
 
 	watchLines atomic.Int64
 	rewatches  atomic.Int64
-	lastValue  atomic.Int64 // the newest value written, so that no two writes have the same
+	lastValue  atomic.Int64 // newest value written; each write takes the next, so that no two are equal
 }
 
 // listRead is a read of a whole list that a replica responded to.
 type listRead struct {
 	replica string
-	called  time.Duration // since the start of the event log
-	age     time.Duration // as the replica reported it
+	called  time.Duration // time of the call since the start of the event log
+	age     time.Duration // age of the list as the replica reported it
 	rev     int64
 }
 
@@ -75,14 +75,14 @@
 type Replica struct {
 	Number      int
 	Name        string
-	Address     string       // where clients connect
-	raftAddress string       // where it listens for the raft traffic of other replicas
-	raftProxy   *relay.Port  // where other replicas connect; it forwards to raftAddress
-	Spec        process.Spec // how its process is started
+	Address     string       // address at which clients connect
+	raftAddress string       // address at which the replica listens for the raft traffic of other replicas
+	raftProxy   *relay.Port  // port at which other replicas connect; it forwards to raftAddress
+	Spec        process.Spec // how the replica's process is started
 
 	mu      sync.Mutex
 	child   *process.Child
-	pastCPU float64 // CPU seconds of its killed processes
+	pastCPU float64 // CPU seconds of the replica's killed processes
 }
 
 // URL returns the URL of a path of the replica's HTTP interface.
--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -251,9 +251,9 @@
 type diskFailure struct {
 	*Replica
 	child             *process.Child // the replica's process when the fault started
-	loggedBefore      int            // disk failures in its log before the fault started
-	revisionAtFailure int64          // its revision after the fault started
-	revisionAtHeal    int64          // its revision before the fault ended; 0 if the replica did not report it
+	loggedBefore      int            // disk failures in the replica's log before the fault started
+	revisionAtFailure int64          // revision of the replica after the fault started
+	revisionAtHeal    int64          // revision of the replica before the fault ended; 0 if not reported
 }
 
 // failDisks makes the disks of replicas fail and records the state of the replicas. It counts the logged disk failures
@@ -282,7 +282,7 @@
 }
 
 // healDisks ends the faults of disks and checks the replicas. A replica that detected the fault must recover by itself
-// within diskRecoveryTimeout. A replica that did not must not have applied any revision during the fault.
+// within diskRecoveryTimeout. A replica that did not detect it must not have applied any revision during the fault.
 func (c *Cluster) healDisks(ctx context.Context, failures []*diskFailure, heal func() error) error {
 	for _, f := range failures {
 		f.revisionAtHeal = c.appliedRevision(f.Replica)
@@ -305,7 +305,7 @@
 // ended or applied writes without detecting the fault.
 func (c *Cluster) checkDiskFailure(ctx context.Context, f *diskFailure, healedAt time.Duration) error {
 	if f.Process() != f.child || f.child.StopRequested() {
-		return nil // another fault has killed it in the meantime
+		return nil // another fault has killed the process in the meantime
 	}
 	c.mu.Lock()
 	c.diskChecks++
--- a/internal/lab/cluster/linearizability.go
+++ b/internal/lab/cluster/linearizability.go
@@ -23,10 +23,10 @@
 type outcome uint8
 
 const (
-	outcomeNotApplied outcome = iota // it was certainly not applied, and never will be
-	outcomeOK                        // it succeeded
-	outcomeConflict                  // it was rejected: its condition did not hold
-	outcomeUnknown                   // it may have been applied, or may still be
+	outcomeNotApplied outcome = iota // the call was certainly not applied, and never will be
+	outcomeOK                        // the call succeeded
+	outcomeConflict                  // the call was rejected: its condition did not hold
+	outcomeUnknown                   // the call may have been applied, or may still be
 )
 
 // operation is one call on an entry and its outcome.
@@ -34,7 +34,7 @@
 	key              string
 	client           int
 	kind             opKind
-	value            int64 // the value that a write writes, different for each write
+	value            int64 // value that a write stores, different for each write
 	condition        int64 // required revision of the entry; 0: the entry must not exist; -1: no condition
 	outcome          outcome
 	returnedRev      int64
@@ -44,8 +44,8 @@
 
 // register is the state of one entry in the model.
 type register struct {
-	value int64 // 0: the entry does not exist
-	rev   int64 // of its last change, or unknownRevision if that was a write with an unknown outcome
+	value int64 // value of the entry; 0: the entry does not exist
+	rev   int64 // revision of the last change; unknownRevision if the outcome of that write is unknown
 }
 
 // unknownRevision is the revision of a write with an unknown outcome: its writer did not receive the revision.
--- a/internal/lab/cluster/result.go
+++ b/internal/lab/cluster/result.go
@@ -133,7 +133,7 @@
 func checkListAges(reads []listRead, acks []ackedWrite) string {
 	acks = slices.Clone(acks)
 	slices.SortFunc(acks, func(a, b ackedWrite) int { return cmp.Compare(a.acknowledged, b.acknowledged) })
-	for i := 1; i < len(acks); i++ { // rev becomes the greatest revision acknowledged by then
+	for i := 1; i < len(acks); i++ { // sets rev to the greatest revision acknowledged up to this write
 		acks[i].rev = max(acks[i].rev, acks[i-1].rev)
 	}
 	for _, read := range reads {
@@ -154,7 +154,7 @@
 		last := time.Duration(0)
 		for _, w := range watchers {
 			// The revision of a watcher goes back when it reconnects to a replica that lags. What counts is when it
-			// first had this one.
+			// first had the revision of the write.
 			i := slices.IndexFunc(w.firstSeen, func(t ackedWrite) bool { return t.rev >= a.rev })
 			if i < 0 {
 				last = -1
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -32,7 +32,7 @@
 
 // Drive runs writers, a reader, watchers and faults for the length of the run. Faults are ended when ctx ends.
 func (r *registryRun) Drive(ctx context.Context) error {
-	r.startWatchers(context.WithoutCancel(ctx)) // they watch until Collect has finished
+	r.startWatchers(context.WithoutCancel(ctx)) // without cancel: the watchers run until Collect has finished
 	ctx, cancel := context.WithTimeout(ctx, r.Scenario.Length.Duration())
 	defer cancel()
 	var clients sync.WaitGroup
--- a/internal/lab/crowd/crowd.go
+++ b/internal/lab/crowd/crowd.go
@@ -3,9 +3,9 @@
 // milliseconds.
 //
 // The service behaves as the operators' pages describe it: calls wait in a queue, a call costs as many lines as its
-// response has, and a call that has waited too long fails. A call that was started is completed. One that is abandoned
-// or fails in the queue costs nothing, or, with Spec.WastesFailedCalls, as much as any other: such a service does not
-// detect closed connections.
+// response has, and a call that has waited too long fails. A call that was started is completed. A call that is
+// abandoned or fails in the queue costs nothing, or, with Spec.WastesFailedCalls, as much as any other: such a service
+// does not detect closed connections.
 package crowd
 
 import (
@@ -24,19 +24,19 @@
 	Servers      int     // length of the list, one line per server
 	Capacity     float64 // lines that the service sends per second
 	CallTimeout  float64 // how long a call may wait in the queue
-	StartSpread  float64 // all sidecars start within this time, evenly spread
+	StartSpread  float64 // time over which the starts of all sidecars are evenly spread
 	Length       float64 // duration of the run
-	PollInterval float64 // of balance.Config; the setting rules.ask_within_ms of the sidecar
+	PollInterval float64 // value for balance.Config; the setting rules.ask_within_ms of the sidecar
 	// MaxPollBackoff is the value for balance.Config, which sidecars set. 0 means none.
 	MaxPollBackoff    float64
-	WastesFailedCalls bool // calls that fail in the queue cost as much as any other
+	WastesFailedCalls bool // whether calls that fail in the queue cost as much as any other
 	Seed              uint64
 }
 
 // Result is the outcome of a run. P50, P99 and Max are the times, in milliseconds since the start of the run, at which
 // sidecars received their first list: over those that have one, and infinite if there are none.
 type Result struct {
-	Calls     int     `json:"calls"` // started, also those that have not ended
+	Calls     int     `json:"calls"` // calls that were started, including calls that have not ended
 	Succeeded int     `json:"answered"`
 	Failed    int     `json:"failed"`
 	HaveList  int     `json:"told"` // sidecars that have a list at the end
@@ -53,7 +53,7 @@
 	spec       Spec
 	servers    []balance.Server
 	callers    []*caller
-	idleAt     float64 // when the service will have finished all queued calls
+	idleAt     float64 // time at which the service will have finished all queued calls
 	busyTime   float64
 	usefulTime float64
 	counts     Result
@@ -62,7 +62,7 @@
 // caller is one sidecar.
 type caller struct {
 	balancer    *balance.Balancer
-	firstListAt float64 // when it received its first list; negative: not yet
+	firstListAt float64 // time at which the sidecar received its first list; negative: not yet
 }
 
 // Run runs the simulation of a spec.
--- a/internal/lab/relay/handshake_delay.go
+++ b/internal/lab/relay/handshake_delay.go
@@ -27,7 +27,7 @@
 // Limits: the source port decides whether a connection is delayed. A delay under about 20 ms may take longer, as it
 // takes that long to find a pending connection.
 type HandshakeDelay struct {
-	fraction float64                   // of new connections, 0 to 1
+	fraction float64                   // fraction of new connections whose handshake is delayed, 0 to 1
 	delay    func(*Link) time.Duration // draws the delay of one connection
 
 	mu            sync.Mutex
@@ -35,7 +35,7 @@
 	lastDropCount map[*Port]uint32 // drop count of each listening socket at the last poll
 	wg            sync.WaitGroup
 	cancel        context.CancelFunc
-	err           error // that stopped the watch
+	err           error // error that stopped the watch; nil if there was none
 }
 
 // dropPollInterval is how often the drop counts of the listening sockets are polled. The kernel is queried for pending
@@ -214,7 +214,7 @@
 
 // The filter hashes source ports to 16 bits by a multiplication and drops packets whose hash is below the fraction.
 const (
-	portMultiplier = 40503 // odd, near 2^16 over the golden ratio
+	portMultiplier = 40503 // multiplier of the hash: odd, near 2^16 over the golden ratio
 	portSpace      = 1 << 16
 )
 
@@ -254,7 +254,7 @@
 // pendingConn is a connection whose handshake is not complete.
 type pendingConn struct {
 	addrPair
-	age time.Duration // since its first SYN
+	age time.Duration // time since the first SYN of the connection
 }
 
 // synRetransmitTimeout is the kernel's first SYN retransmission timeout (RFC 6298, 2.1). The age of the first SYN is
--- a/internal/lab/relay/link.go
+++ b/internal/lab/relay/link.go
@@ -25,7 +25,7 @@
 
 // Rules are the faults of a link. The zero value passes all traffic without delay.
 type Rules struct {
-	Latency         time.Duration // one-way, added to each read and write
+	Latency         time.Duration // one-way delay, added to each read and write
 	Jitter          float64       // each latency is drawn from Latency x (1 +- Jitter)
 	Bandwidth       int           // bytes per second in each direction; 0 means unlimited
 	Cut             Direction     // directions that carry no data; handshakes are dropped by Port.Cut
@@ -39,8 +39,8 @@
 type Link struct {
 	rules   atomic.Pointer[Rules]
 	mu      sync.Mutex
-	changed chan struct{} // closed at each change
-	rng     *rand.Rand    // guarded by mu
+	changed chan struct{} // closed at each change of the rules
+	rng     *rand.Rand    // source of jitter and losses; guarded by mu
 }
 
 // NewLink returns a link. Its jitter and losses are drawn from seed.
@@ -172,7 +172,7 @@
 // ReadFrom copies through Write: the embedded connection's own ReadFrom would bypass the link's rules.
 func (c *Conn) ReadFrom(r io.Reader) (int64, error) { return io.Copy(struct{ io.Writer }{c}, r) }
 
-// WriteTo copies through Read, for the same reason as ReadFrom.
+// WriteTo copies through Read: the embedded connection's own WriteTo would bypass the link's rules.
 func (c *Conn) WriteTo(w io.Writer) (int64, error) { return io.Copy(w, struct{ io.Reader }{c}) }
 
 // LosesResponse draws whether the response to be written next is lost.
@@ -263,6 +263,6 @@
 
 // Reset closes the connection with a TCP reset.
 func (c *Conn) Reset() {
-	_ = c.TCPConn.SetLinger(0) // fails only if it is closed already
+	_ = c.TCPConn.SetLinger(0) // fails only if the connection is already closed
 	_ = c.Close()
 }
--- a/internal/lab/relay/listen.go
+++ b/internal/lab/relay/listen.go
@@ -73,7 +73,7 @@
 	wg       sync.WaitGroup
 
 	delayed         []int   // callers with delayed handshakes
-	delayedFraction float64 // of their new connections, 0 to 1; see HandshakeDelay
+	delayedFraction float64 // fraction of these callers' new connections that is delayed, 0 to 1; see HandshakeDelay
 }
 
 // Listen opens a port for a party. links returns the link of a caller; connections of callers without a link are
@@ -219,7 +219,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			// A temporary error, such as too many open files.
+			// Retries after a temporary error, such as too many open files.
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -249,7 +249,7 @@
 	if !closed {
 		p.conns[c] = struct{}{}
 		c.detachFilter()
-		p.wg.Add(1) // under the lock, in which Close removes the listener before it waits
+		p.wg.Add(1) // under the lock: Close removes the listener under the same lock before it waits
 	}
 	p.mu.Unlock()
 	if closed {
--- a/internal/lab/relay/ports.go
+++ b/internal/lab/relay/ports.go
@@ -15,8 +15,8 @@
 // range between the search for a free port and its use, or while a party restarts.
 const (
 	lowestPort   = 10240 // lowest port that parties use
-	minPortRange = 1000  // a smaller range below the ephemeral ports is not used
-	portAttempts = 100   // random ports that are tried
+	minPortRange = 1000  // minimum number of ports below the ephemeral range; a smaller range is not used
+	portAttempts = 100   // number of random ports that are tried
 )
 
 // listenOnFreePort calls listen with random ports until one is free. After portAttempts ports in use, it calls listen
--- a/internal/lab/stock/model.go
+++ b/internal/lab/stock/model.go
@@ -22,12 +22,12 @@
 	Queue     int           // maximum number of waiting requests
 	MaxConns  int           // open connections above which requests are rejected; 0 means no limit
 	Handshake float64       // extra work of the first request on a connection
-	Idle      time.Duration // a connection without a request is closed after this time; 0 means never
+	Idle      time.Duration // time after which a connection without a request is closed; 0 means never
 	NoCancel  bool          // running work continues after its request is cancelled
 
 	InitialCapacity  float64       // fraction of the full capacity right after a start, 0 to 1
-	SlowStartTime    time.Duration // from a start to full capacity; 0 means no slow start
-	OverloadMultiple float64       // times the present capacity above which it crashes in slow start; 0 means never
+	SlowStartTime    time.Duration // time from a start to full capacity; 0 means no slow start
+	OverloadMultiple float64       // crashes in slow start above this multiple of the present capacity; 0 means never
 	OverloadTime     time.Duration // window over which arriving work is compared with the capacity
 
 	Jam   Jam
@@ -38,7 +38,7 @@
 type Pause struct {
 	MeanInterval  time.Duration // mean time from the end of a pause to the start of the next
 	MaxIdleLength time.Duration // longest pause of an idle server
-	LoadFactor    float64       // with all slots in use, a pause is longer by this fraction
+	LoadFactor    float64       // fraction by which a pause is longer when all slots are in use
 	Seed          uint64
 }
 
@@ -51,7 +51,7 @@
 	Slowdown     float64       // factor by which a jam slows the server down; up to 1 means no jams
 	IdleLoad     float64       // requests per core below which the server is idle
 	EndAfterIdle time.Duration // how long the server is idle before a jam ends
-	MaxLength    time.Duration // a jam ends after this time at the latest
+	MaxLength    time.Duration // time after which a jam ends at the latest
 }
 
 // DefaultJam returns the jam of the operators' servers, as documented by the operators.
@@ -61,7 +61,7 @@
 
 // job is one request at a server. The lock of the server's group guards its fields.
 type job struct {
-	work      float64        // total, in milliseconds of a core of speed 1
+	work      float64        // total work of the request, in milliseconds of a core of speed 1
 	remaining float64        // part of work that is not done
 	arrived   time.Duration  // time of arrival at the server
 	onDone    func(ran bool) // called at most once, without locks; ran is false if the server ended first
@@ -88,9 +88,9 @@
 	rate      float64 // work per millisecond on each running request
 	paused    bool    // a fault stops all work
 
-	overloadedSince, idleSince, jammedAt time.Duration // -1 if the state does not hold
+	overloadedSince, idleSince, jammedAt time.Duration // start of each state; -1 if the server is not in it
 	arrivals                             []arrival     // requests of the last OverloadTime in slow start
-	workDone                             float64       // in milliseconds of a core of speed 1
+	workDone                             float64       // total work done, in milliseconds of a core of speed 1
 
 	rng                    *rand.Rand // draws the pauses
 	nextPause, pausedUntil time.Duration
--- a/internal/lab/stock/request_run.go
+++ b/internal/lab/stock/request_run.go
@@ -18,7 +18,7 @@
 	id     uint64
 	job    *job          // nil until the request is queued
 	ended  chan struct{} // closed once nothing more is written for the request
-	closed atomic.Bool   // the end of the connection has been recorded
+	closed atomic.Bool   // whether the end of the connection has been recorded
 	// replied is set once the response is completely written.
 	replied atomic.Bool
 }
--- a/internal/lab/stock/server.go
+++ b/internal/lab/stock/server.go
@@ -24,7 +24,7 @@
 	Class   int
 	Tenant  int
 	BodySum uint64  // checksum of the body
-	Work    float64 // milliseconds of a core of speed 1
+	Work    float64 // work of the request, in milliseconds of a core of speed 1
 	// WorkFactor returns the factor for the work of an attempt at a server; nil means 1.
 	WorkFactor    func(attempt uint64, server int) float64
 	ResponseBytes int // size of the response body
@@ -126,7 +126,7 @@
 	pod             *Pod
 	model           *model
 	spec            Spec
-	healthCheckWork float64 // work of each health check, in milliseconds of a core; negative means they are not allowed
+	healthCheckWork float64 // work of each health check, in ms of a core; negative: health checks are not allowed
 
 	behaviour     atomic.Pointer[Behaviour]
 	observe       func(server, sidecar int, req *http.Request, body []byte)
@@ -138,7 +138,7 @@
 
 	mu   sync.Mutex
 	rng  *rand.Rand
-	idle map[*relay.Conn]time.Time // connections without a request, with the time since when
+	idle map[*relay.Conn]time.Time // connections without a request, with the start of their idle time
 }
 
 // Options are the settings of a server besides its Spec.
@@ -146,7 +146,7 @@
 	Number          int
 	Links           func(sidecar int) *relay.Link
 	Seed            uint64
-	HealthCheckWork float64 // milliseconds of work for each health check; negative means they are not allowed
+	HealthCheckWork float64 // work of each health check, in ms of a core; negative: health checks are not allowed
 	// Observe is called for each completely received request before it is checked; may be nil.
 	Observe func(server, sidecar int, req *http.Request, body []byte)
 }
@@ -246,7 +246,7 @@
 	if limit > 0 {
 		deadline = since.Add(limit)
 	}
-	_ = c.SetReadDeadline(deadline) // fails on a closed connection, as the read will
+	_ = c.SetReadDeadline(deadline) // fails on a closed connection, as the next read does
 }
 
 // markIdle records that a connection has no request, and sets its deadline.
@@ -287,7 +287,7 @@
 	defer s.markNotIdle(c)
 	serial := int16(s.lastSerial.Add(1))
 	in := bufio.NewReaderSize(c, 4<<10)
-	handshakeWork := s.spec.Handshake // of the first request
+	handshakeWork := s.spec.Handshake // extra work of the first request on the connection
 	for {
 		if in.Buffered() == 0 {
 			s.markIdle(c)
