--- a/internal/lab/agent/agent.go
+++ b/internal/lab/agent/agent.go
@@ -45,7 +45,7 @@
 // List is a list response or a list event of a watch: all servers, or the changes since a revision.
 type List struct {
 	Rev     int64   `json:"rev"`
-	All     bool    `json:"all"` // the list is complete; false: it has only the changes
+	All     bool    `json:"all"` // true: the list is complete; false: the list has only the changes
 	Targets []Entry `json:"targets"`
 
 	omitsDraining bool // the list is complete except for the draining servers
@@ -55,7 +55,7 @@
 type Agents struct {
 	log      *record.Log
 	endpoint func(sidecar, server int) string // returns the address at which a sidecar reaches a server
-	agents   []*agentState                    // by sidecar
+	agents   []*agentState                    // by number of the sidecar
 
 	mu             sync.Mutex
 	rev            int64         // revision of the last published change
@@ -63,7 +63,7 @@
 	links          func(sidecar int) *relay.Link
 	timers         []*time.Timer
 	closed         bool
-	lostWatchDelay time.Duration // lostWatchTimeout; tests shorten it
+	lostWatchDelay time.Duration // equal to lostWatchTimeout, except in tests, which shorten it
 	wg             sync.WaitGroup
 }
 
@@ -72,10 +72,10 @@
 	sidecar         int
 	mu              sync.Mutex
 	rev             int64
-	entries         map[int]Entry // by server number
+	entries         map[int]Entry // entries of the list, by server number
 	entryRevs       map[int]int64 // revision of each entry's last change, by server number
-	silent          bool          // sends nothing
-	reject          bool          // responds with 503
+	silent          bool          // the agent sends nothing
+	reject          bool          // the agent responds with 503 to all requests
 	delay           time.Duration // added to the delay of each change that is published
 	defect          string
 	defectDelay     time.Duration
@@ -296,7 +296,7 @@
 	if previous, is := state.fault, b.Fault; previous != is {
 		for _, fault := range []string{previous, is} {
 			switch fault {
-			case FaultEmptyList, FaultPartialList: // its start and its end begin a new history
+			case FaultEmptyList, FaultPartialList: // the start and the end of these faults begin a new history
 				state.revOffset += revsPerHistory
 			case FaultTruncatedLine, FaultOversizedLine:
 				state.watchBreakCount++
--- a/internal/lab/agent/serve.go
+++ b/internal/lab/agent/serve.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// watch serves a watch: it writes a line with the changes after a revision, then one at each change, and heartbeats
-// between them, until the watch or the connection ends.
+// watch serves a watch: it writes a line with the changes after a revision, then one line at each change, and
+// heartbeats between these lines, until the watch or the connection ends.
 func (a *Agents) watch(state *agentState, c *relay.Conn, after int64, ended <-chan struct{}) error {
 	if err := write(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return err
@@ -155,7 +155,7 @@
 
 // snapshot is the part of an agent's state that a watch needs for one line.
 type snapshot struct {
-	changed                       <-chan struct{} // closed at the next change of the state
+	changed                       <-chan struct{} // closed at the next change of the agent's state
 	list                          List
 	endOnChange                   bool
 	fault, defect                 string
@@ -253,7 +253,7 @@
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	for n, e := range state.entries {
-		if e.State == Gone || l.omitsDraining && e.State == Terminating { // a complete list omits it
+		if e.State == Gone || l.omitsDraining && e.State == Terminating { // a complete list omits this entry
 			a.log.Add(record.Event{Kind: record.Notified, Sidecar: int32(state.sidecar), Server: int32(n),
 				Class: record.None, N: e.BootMS, Note: Gone})
 		}
--- a/internal/lab/defects.go
+++ b/internal/lab/defects.go
@@ -104,5 +104,5 @@
 	}
 	_ = c.Signal(syscall.SIGSTOP) // the wait for readiness reports a process that has ended
 	harness.Sleep(ctx, stall)
-	_ = c.Signal(syscall.SIGCONT) // as above
+	_ = c.Signal(syscall.SIGCONT) // the wait for readiness reports a process that has ended
 }
--- a/internal/lab/experiment/compare/compare.go
+++ b/internal/lab/experiment/compare/compare.go
@@ -61,7 +61,7 @@
 	Error  float64   `json:"standard_error"` // standard error of Diff, 0 for one pair
 	Min    float64   `json:"least"`          // smallest difference
 	Max    float64   `json:"most"`           // largest difference
-	diffs  []float64 // by pair
+	diffs  []float64 // differences, by pair
 }
 
 // maxLateRuns is the number of late runs of a side on a seed after which the comparison fails.
--- a/internal/lab/experiment/growth/growth.go
+++ b/internal/lab/experiment/growth/growth.go
@@ -50,10 +50,10 @@
 
 // Usage is the resource use and the served share of one sidecar over a day.
 type Usage struct {
-	CPU         float64 `json:"cpu_s"` // user and system time, from the start of the process to its end
+	CPU         float64 `json:"cpu_s"` // user and system time, from the start of the process to its end, in seconds
 	PeakMemory  float64 `json:"peak_memory_mb"`
-	Descriptors float64 `json:"descriptors"` // largest number open at one time
-	Connections float64 `json:"connections"` // number opened to servers
+	Descriptors float64 `json:"descriptors"` // largest number of descriptors open at one time
+	Connections float64 `json:"connections"` // number of connections opened to servers
 	ListBytes   float64 `json:"list_bytes"`  // bytes received from the discovery service
 	Served      float64 `json:"served"`      // share of requests, by priority weight, within the latency objective
 }
@@ -95,7 +95,7 @@
 	name                               string
 	figure                             func(*Usage) float64
 	factor, offset, perThousandServers float64
-	isLowerLimit                       bool // the bound is a lower limit
+	isLowerLimit                       bool // true: the bound is a lower limit
 }
 
 // boundTable is the growth table of the acceptance page, in its order and in the units of Usage.
--- a/internal/lab/experiment/listscale/listscale.go
+++ b/internal/lab/experiment/listscale/listscale.go
@@ -31,17 +31,17 @@
 // Point is the measured cost of the list service for one number of watchers and entries. The service is a single
 // replica in its own process.
 type Point struct {
-	EachEncodes      bool    `json:"each_encodes"` // the baseline: each change is encoded once per watcher
+	EachEncodes      bool    `json:"each_encodes"` // true for the baseline, which encodes each change once per watcher
 	Watchers         int     `json:"watchers"`
 	Entries          int     `json:"entries"`
 	Changes          int     `json:"changes"`
-	NotifyP50MS      float64 `json:"tell_p50_ms"` // from the start of a write until the last watcher has it
+	NotifyP50MS      float64 `json:"tell_p50_ms"` // time from the start of a write to its receipt by the last watcher
 	NotifyP99MS      float64 `json:"tell_p99_ms"`
 	BytesPerChange   float64 `json:"bytes_per_change"`
 	CPUPerChange     float64 `json:"cpu_us_per_change"`
 	MemoryPerWatcher float64 `json:"kb_per_watcher"`
-	RecoveryTime     float64 `json:"return_s"` // from a kill, with a restart, until all watchers have the list
-	PeakMemory       float64 `json:"peak_mb"`  // of the restarted replica
+	RecoveryTime     float64 `json:"return_s"` // time from a kill, with a restart, until all watchers have the list
+	PeakMemory       float64 `json:"peak_mb"`  // peak memory of the restarted replica
 }
 
 const (
@@ -81,15 +81,15 @@
 // notification is the receipt of a revision by a watcher.
 type notification struct {
 	revision int64
-	at       time.Duration // on the clock of the listRun
+	at       time.Duration // time of the receipt, on the clock of the listRun
 }
 
 // watcher watches the list and records the revisions and bytes that it receives.
 type watcher struct {
-	revision      atomic.Int64  // the last one received
-	receivedBytes *atomic.Int64 // shared by all watchers
+	revision      atomic.Int64  // last revision received
+	receivedBytes *atomic.Int64 // counter that all watchers share
 	mu            sync.Mutex
-	notifications []notification // by ascending revision
+	notifications []notification // received revisions in ascending order
 }
 
 // run keeps a watch open until ctx ends. Between two watches it waits as long as the service requests.
@@ -161,7 +161,7 @@
 // watchLine is the revision and the size of a line of a watch.
 type watchLine struct {
 	revision int64
-	size     int // bytes
+	size     int // size of the line, in bytes
 }
 
 // readRevision reads a line of any length and returns its revision, which is the first field of the line, and its
@@ -188,21 +188,21 @@
 // acceptedWrite is a write of an entry that the service accepted.
 type acceptedWrite struct {
 	revision int64
-	calledAt time.Duration // when the request was started, on the clock of the listRun
+	calledAt time.Duration // time when the request was started, on the clock of the listRun
 }
 
 // listRun is one measurement: a replica of the list service and its watchers.
 type listRun struct {
 	entries  int
 	start    time.Time // zero of the measurement's clock
-	addr     string    // of the list service
+	addr     string    // address of the list service
 	spec     process.Spec
 	children *process.Supervisor
 	replica  *process.Child
-	writer   *http.Client // writes entries
+	writer   *http.Client // client that writes entries
 
 	watchers       []*watcher
-	receivedBytes  atomic.Int64 // by all watchers together
+	receivedBytes  atomic.Int64 // bytes received by all watchers together
 	watcherTasks   sync.WaitGroup
 	cancelWatchers context.CancelFunc
 }
--- a/internal/lab/experiment/membercold/membercold.go
+++ b/internal/lab/experiment/membercold/membercold.go
@@ -45,7 +45,7 @@
 type Row struct {
 	Sidecars   int                `json:"sidecars"`
 	Rate       float64            `json:"rate"`
-	Servers    int                `json:"servers"` // number at the start
+	Servers    int                `json:"servers"` // number of servers at the start
 	Change     string             `json:"change"`
 	CountMode  simulate.CountMode `json:"count"`
 	SlowStarts int                `json:"cold_starts"` // starts of servers, over all runs
@@ -68,8 +68,8 @@
 }
 
 // The times of a run, in ms since its start unless noted. Servers are replaced, restart at once, and join. The fleet of
-// sidecars changes early enough that all sidecars know the change before servers start. Only the sidecars that start
-// late do so while servers warm up.
+// sidecars changes early enough that all sidecars know the change before servers start. Only sidecars that start late
+// change the fleet while servers warm up.
 const (
 	replaceAtMS = 12000.0
 	restartAtMS = 14000.0 // the servers are ready again about restartTimeMS later
@@ -78,7 +78,7 @@
 
 	restartTimeMS = 6000.0 // duration of a restart
 
-	splitAtMS = 8000.0 // early enough for unreachable sidecars to be detected before the first server starts
+	splitAtMS = 8000.0 // early enough that unreachable sidecars are detected before the first server starts
 	healAtMS  = 36000.0
 	stopAtMS  = 9000.0
 	startAtMS = 21800.0 // all sidecars have just been notified of the restarted servers
@@ -89,7 +89,7 @@
 const (
 	replacedFraction    = 0.1
 	joiningFraction     = 0.2
-	fullTrafficFraction = 0.8    // of the expected traffic
+	fullTrafficFraction = 0.8    // share of the expected traffic that counts as full
 	trafficWindowMS     = 2000.0 // length of the window in which traffic is counted
 	trafficStepMS       = 500.0  // time between the starts of two windows
 	minExpectedSends    = 20     // expected requests to a group in a window; with fewer, its share is not reliable
@@ -144,7 +144,7 @@
 		return n, splitFleet(n, func(i int) int { return i % 10 }), nil
 	case "split-alone":
 		return n, splitFleet(n, func(i int) int { return i }), nil
-	case "split-third": // two halves, and a third of the sidecars restarts during the partition
+	case "split-third": // partition into two halves; a third of the sidecars restarts meanwhile
 		third := indexRange(0, n/3)
 		changes := splitFleet(n, func(i int) int { return i % 2 })
 		stop := simulate.FleetChange{At: startAtMS - restartTimeMS, Stop: third}
@@ -233,7 +233,7 @@
 	initialServers   int
 	members          *simulate.MembersResult
 	figures          measure.Figures
-	fullTrafficAfter []float64 // in ms, of each group of servers that started together
+	fullTrafficAfter []float64 // times in ms, one per group of servers that started together
 	err              error
 }
 
--- a/internal/lab/experiment/memberscale/fleet.go
+++ b/internal/lab/experiment/memberscale/fleet.go
@@ -28,11 +28,11 @@
 	port  *gossip.Port
 
 	mu                sync.Mutex
-	view              roster.View // the last that was reported
-	trace             []timedView // the views reported since traced was set
+	view              roster.View // last view that the member reported
+	trace             []timedView // views that the member reported since traced was set
 	traced            bool
-	unreachableEvents int // how often another member became unreachable
-	removedEvents     int // how often another member was removed
+	unreachableEvents int // number of times that another member became unreachable
+	removedEvents     int // number of times that another member was removed
 	maxUnreachable    int // largest number of known but unreachable members at one time
 }
 
@@ -82,7 +82,7 @@
 	experiment *Experiment
 	network    *gossip.Network
 	members    []*member
-	joinTime   time.Duration // from the start of the first member until all agreed and were admitted
+	joinTime   time.Duration // time from the start of the first member until all agreed and were admitted
 }
 
 // startsPerInterval is the number of members that start per probe interval. The start is spread as it is when a
@@ -209,7 +209,7 @@
 // awaitQuiet waits until members send little besides their probes, and returns false if they don't within EventTimeout.
 // Members gossip about a join for a time that increases with the size of the fleet.
 func (f *fleet) awaitQuiet(ctx context.Context) bool {
-	maxPackets := uint64(3 * len(f.members)) // per interval: a probe, its acknowledgement and one more per member
+	maxPackets := uint64(3 * len(f.members)) // per interval and member: a probe, its acknowledgement, one more packet
 	for end := time.Now().Add(f.experiment.EventTimeout); ctx.Err() == nil && time.Now().Before(end); {
 		_, before := f.sentTotals()
 		if !harness.Sleep(ctx, f.experiment.Interval) {
@@ -224,8 +224,8 @@
 
 // baselineUsage is the resource use of this process before a fleet was opened.
 type baselineUsage struct {
-	memory int64   // bytes of heap and stacks
-	cpu    float64 // processors in use, as a mean
+	memory int64   // size of the heap and the stacks, in bytes
+	cpu    float64 // mean number of processors in use
 }
 
 // measureIdle measures the cost of a quiet fleet beyond the baseline, and counts false detections without loss. It sets
@@ -390,8 +390,8 @@
 }
 
 // crashTimes returns, for each pair of a remaining and a crashed member, the seconds until a count of the remaining
-// member's view no longer included the crashed one. The times are in ascending order. A time is infinite if the count
-// kept the crashed member.
+// member's view no longer included the crashed member. The times are in ascending order. A time is infinite if the
+// count kept the crashed member.
 func (f *fleet) crashTimes(start time.Time, n, crashed int, count func(roster.View) int) []float64 {
 	var times []float64
 	for _, s := range f.members {
--- a/internal/lab/experiment/memberscale/memberscale.go
+++ b/internal/lab/experiment/memberscale/memberscale.go
@@ -65,12 +65,12 @@
 
 // IdleCost is the cost of a fleet without faults.
 type IdleCost struct {
-	JoinSeconds      float64 `json:"joined_s"`             // from the first start until all agree and are admitted
+	JoinSeconds      float64 `json:"joined_s"`             // time from the first start until all agree and are admitted
 	ForcedAdmissions int     `json:"forced"`               // members admitted only because admit_within had passed
 	Bytes            float64 `json:"bytes_per_member_s"`   // bytes sent in packets and streams
 	Packets          float64 `json:"packets_per_member_s"` // packets sent
-	CPU              float64 `json:"cpu_us_per_member_s"`  // includes the simulated network, not the kernel's
-	Memory           float64 `json:"kb_per_member"`        // heap and stacks
+	CPU              float64 `json:"cpu_us_per_member_s"`  // with the simulated network, without a kernel's
+	Memory           float64 `json:"kb_per_member"`        // size of the heap and the stacks
 	Quiet            bool    `json:"quiet"`                // false: members still gossiped about the join
 	MemberMinutes    float64 `json:"member_minutes"`       // member-minutes over which the costs were measured
 }
@@ -82,7 +82,7 @@
 	Crashed    int     `json:"crashed"`
 	DetectP50  float64 `json:"detect_p50_s"`
 	DetectP99  float64 `json:"detect_p99_s"`
-	DetectAll  float64 `json:"detect_all_s"` // maximum
+	DetectAll  float64 `json:"detect_all_s"` // maximum over all pairs
 	RemovedP50 float64 `json:"gone_p50_s"`
 	RemovedP99 float64 `json:"gone_p99_s"`
 	RemovedAll float64 `json:"gone_all_s"`
@@ -92,22 +92,22 @@
 // is short. An event counts once for each member that reports it.
 type LossResult struct {
 	Loss               float64 `json:"loss"`    // share of packets lost, 0 to 1
-	Starved            bool    `json:"starved"` // CPU time was short
+	Starved            bool    `json:"starved"` // true: measured with too little CPU time
 	MemberHours        float64 `json:"member_hours"`
-	UnreachablePerHour float64 `json:"deaths_per_member_hour"` // declared unreachable, mean over all pairs of members
-	RemovedPerHour     float64 `json:"gone_per_member_hour"`   // removed, mean over all pairs of members
+	UnreachablePerHour float64 `json:"deaths_per_member_hour"` // unreachable events, mean over all pairs of members
+	RemovedPerHour     float64 `json:"gone_per_member_hour"`   // removed events, mean over all pairs of members
 	UnreachableEvents  int     `json:"deaths_seen"`
 	RemovedEvents      int     `json:"gone_seen"`
 	MaxUnreachable     int     `json:"most_unheard"` // most unreachable members in one view
-	AgreeSeconds       float64 `json:"agree_s"`      // from the end of the fault until all agree
+	AgreeSeconds       float64 `json:"agree_s"`      // time from the end of the fault until all agree
 }
 
 // SplitResult is the reaction of a fleet to a partition and to its healing.
 type SplitResult struct {
 	Parts          string  `json:"parts"`
-	NoticeSeconds  float64 `json:"noticed_s"`   // until each part of at least half the fleet reaches no others
-	StillReachable int     `json:"still_hears"` // most that a member of the smallest part reached at the healing
-	AgreeSeconds   float64 `json:"agree_s"`     // from the healing until all agree
+	NoticeSeconds  float64 `json:"noticed_s"`   // time until each part of at least half the fleet reaches no others
+	StillReachable int     `json:"still_hears"` // most members that one of the smallest part reached at the healing
+	AgreeSeconds   float64 `json:"agree_s"`     // time from the healing until all agree
 	MaxRemoved     int     `json:"counted_out"` // largest number of members that one member had removed
 }
 
--- a/internal/lab/experiment/memberscale/processes.go
+++ b/internal/lab/experiment/memberscale/processes.go
@@ -26,9 +26,9 @@
 type ProcessResult struct {
 	Members     int     `json:"members"`
 	WithMembers bool    `json:"section"`             // the configuration has the section "members"
-	CPU         float64 `json:"cpu_us_per_member_s"` // mean of a process
-	RSS         float64 `json:"rss_mb"`              // mean of a process
-	JoinSeconds float64 `json:"joined_s"`            // from when the last is ready until all agree; 0 without the section
+	CPU         float64 `json:"cpu_us_per_member_s"` // mean CPU time of a process
+	RSS         float64 `json:"rss_mb"`              // mean resident memory of a process
+	JoinSeconds float64 `json:"joined_s"`            // time from all being ready until all agree; 0 without a section
 }
 
 const (
@@ -38,8 +38,8 @@
 )
 
 // MeasureProcesses runs sidecar processes of a program, without and with the section "members" in their configuration,
-// and measures their usage for a window of time. Their list of servers is empty and they have no clients. Their other
-// settings are those of s.
+// and measures their usage for a window of time. Their list of servers is empty and they have no clients. The other
+// settings of the processes are those of s.
 func (m *Experiment) MeasureProcesses(ctx context.Context, s *scenario.Scenario, program string,
 	window time.Duration) (*Result, error) {
 	start, r := time.Now(), &Result{}
--- a/internal/lab/experiment/overhead/overhead.go
+++ b/internal/lab/experiment/overhead/overhead.go
@@ -85,11 +85,11 @@
 
 // plainClient sends requests over persistent connections and records their latency.
 type plainClient struct {
-	start   time.Time     // planned times count from here
-	warmUp  time.Duration // requests planned earlier are not recorded
+	start   time.Time     // time from which planned times count
+	warmUp  time.Duration // requests planned before the end of this time are not recorded
 	mu      sync.Mutex
 	idle    map[string][]net.Conn   // connections without a request, by address
-	latency *hdrhistogram.Histogram // in microseconds
+	latency *hdrhistogram.Histogram // latencies in microseconds
 }
 
 // send sends a request and records its latency since its planned time, which counts from the start. A failed request
--- a/internal/lab/experiment/requestcost/requestcost.go
+++ b/internal/lab/experiment/requestcost/requestcost.go
@@ -27,18 +27,18 @@
 type Variant struct {
 	Name          string
 	Program       string
-	ConfigPatches []json.RawMessage // JSON merge patches (RFC 7386), applied to its configuration in order
-	WithRoutes    bool              // its requests follow a route, from real replicas of the list service
-	WithMembers   bool              // it is a member of a fleet with Options.IdleMembers idle sidecars
+	ConfigPatches []json.RawMessage // JSON merge patches (RFC 7386), applied to the configuration in order
+	WithRoutes    bool              // requests follow a route, from real replicas of the list service
+	WithMembers   bool              // the sidecar is a member of a fleet with Options.IdleMembers idle sidecars
 }
 
 // Options are the parameters of a measurement.
 type Options struct {
 	Variants    []Variant
 	Baseline    string        // name of the variant that the others are compared with; empty: the first
-	Rounds      int           // at least 2
-	Length      time.Duration // of the requests to a variant in a round
-	IdleTime    time.Duration // without requests, before memory is measured
+	Rounds      int           // number of rounds, at least 2
+	Length      time.Duration // time in which a variant receives requests in a round
+	IdleTime    time.Duration // time without requests, before memory is measured
 	Rate        float64       // total requests per second; 0: closed loop, the next request follows the response
 	Connections int
 	Servers     int
@@ -47,7 +47,7 @@
 	Dir         string    // folder for files; empty: a temporary folder, removed at the end
 	Progress    io.Writer // receives a line per variant and round; nil: none
 
-	warmUp, settleTimeout time.Duration // 0: defaultWarmUp, defaultSettleTimeout
+	warmUp, settleTimeout time.Duration // 0 means defaultWarmUp and defaultSettleTimeout
 }
 
 // Result is the result of a measurement.
@@ -55,7 +55,7 @@
 	Baseline    string          `json:"base"`
 	Rounds      int             `json:"rounds"`
 	Seconds     float64         `json:"seconds"`
-	Rate        float64         `json:"rate_per_s"` // 0: closed loop
+	Rate        float64         `json:"rate_per_s"` // request rate; 0: closed loop
 	Connections int             `json:"connections"`
 	Variants    []VariantResult `json:"variants"`
 }
@@ -68,14 +68,14 @@
 	PerSecond float64   `json:"requests_per_s"`
 	IdleCPU   float64   `json:"idle_cpu_us_per_s"`
 	IdleRSS   float64   `json:"idle_rss_mb"`
-	Start     float64   `json:"start_ms"` // from the start of the process until it logs that it is ready
+	Start     float64   `json:"start_ms"` // time from the start of the process until it logs that it is ready
 	Rounds    []Round   `json:"per_round"`
 }
 
 // Round is the result of one variant in one round.
 type Round struct {
 	Requests  int64   `json:"requests"`
-	Failed    int64   `json:"failed"` // without a response of status 200
+	Failed    int64   `json:"failed"` // requests without a response of status 200
 	CPU       float64 `json:"cpu_us_per_request"`
 	PerSecond float64 `json:"requests_per_s"`
 	IdleCPU   float64 `json:"idle_cpu_us_per_s"`
@@ -94,8 +94,8 @@
 	defaultWarmUp        = time.Second            // duration of the requests before the measurement
 	sliceLength          = 200 * time.Millisecond // requests go to one variant for this long, then to the next one
 	defaultSettleTimeout = 20 * time.Second       // limit for joining the fleet, and for requests to follow the route
-	maxFailedFraction    = 0.01                   // of the requests; a round with more failures is an error
-	minRoutedFraction    = 0.99                   // of the requests of a variant with routes; less is an error
+	maxFailedFraction    = 0.01                   // share of the requests; a round with more failures is an error
+	minRoutedFraction    = 0.99                   // share of the requests of a variant with routes; less is an error
 	subsetName           = "near"                 // subset of the servers that the route selects
 	sidecarSeed          = 1
 	maxFleetSeeds        = 3 // seeds in the configuration of a fleet member
--- a/internal/lab/experiment/requestcost/round.go
+++ b/internal/lab/experiment/requestcost/round.go
@@ -24,9 +24,9 @@
 	idleStartCPU time.Duration // CPU time at the start of the idle measurement
 	Round
 
-	cpuUsed, drivenTime time.Duration // sums over the slices
-	received, routed    int64         // requests at all servers, and those with a route at a server of the route
-	failureReason       string        // of the last failed request
+	cpuUsed, drivenTime time.Duration // CPU time and length of the slices, as sums
+	received, routed    int64         // requests at all servers, and routed requests at the route's servers
+	failureReason       string        // error text of the last failed request
 }
 
 // wrapError adds the variant's name to an error. It returns nil for nil.
--- a/internal/lab/experiment/requestcost/server.go
+++ b/internal/lab/experiment/requestcost/server.go
@@ -27,8 +27,8 @@
 // server responds to each request at once.
 type server struct {
 	addr             string
-	inSubset         bool         // the route selects this server
-	received, routed atomic.Int64 // requests in this slice, and those with a route
+	inSubset         bool         // true: the route selects this server
+	received, routed atomic.Int64 // requests in this slice, and requests with a route in this slice
 	http             *http.Server
 	done             chan struct{} // closed when the server has stopped
 }
--- a/internal/lab/experiment/requestcost/summary.go
+++ b/internal/lab/experiment/requestcost/summary.go
@@ -59,7 +59,7 @@
 	}
 	const z = 1.959964
 	n := float64(degreesOfFreedom)
-	// The Cornish-Fisher expansion at z, the quantile of the normal distribution.
+	// Uses the Cornish-Fisher expansion at z, the quantile of the normal distribution.
 	return z + (math.Pow(z, 3)+z)/(4*n) + (5*math.Pow(z, 5)+16*math.Pow(z, 3)+3*z)/(96*n*n) +
 		(3*math.Pow(z, 7)+19*math.Pow(z, 5)+17*math.Pow(z, 3)-15*z)/(384*n*n*n)
 }
--- a/internal/lab/experiment/routescale/fleet.go
+++ b/internal/lab/experiment/routescale/fleet.go
@@ -82,8 +82,8 @@
 	f.run.Close()
 }
 
-// startSidecars starts n sidecars. Their watches are spread over the replicas, as those of sidecars in several zones
-// are.
+// startSidecars starts n sidecars. Their watches are spread over the replicas, as the watches of sidecars in several
+// zones are.
 func (f *fleet) startSidecars(ctx context.Context, n int) error {
 	ctx, f.stopSidecars = context.WithCancel(ctx)
 	for i := range n {
@@ -134,10 +134,10 @@
 
 // resourceUse is what the replicas and this process have used since their start.
 type resourceUse struct {
-	at                time.Duration // since the start of the measurement
+	at                time.Duration // time since the start of the measurement
 	ownCPU, leaderCPU float64       // CPU seconds of this process and of the leader
-	bytes             float64       // read and written by all replicas, network and disk
-	diskWrites        float64       // synced writes of the leader
+	bytes             float64       // bytes read and written by all replicas, on the network and on disk
+	diskWrites        float64       // number of synced writes of the leader
 }
 
 // resourceUse reads the current use. It fails if the list service has no leader.
@@ -229,7 +229,7 @@
 		if err != nil {
 			return err
 		}
-		if i > 0 { // the first includes the start of the sidecars
+		if i > 0 { // the first change is left out, as its time includes the start of the sidecars
 			delays = append(delays, last-called.Sub(f.shared.start))
 		}
 		if !harness.Sleep(ctx, 200*time.Millisecond) {
@@ -267,7 +267,7 @@
 	if err != nil {
 		return err
 	}
-	harness.Sleep(ctx, 10*meanRequestTime) // for the attempts in flight
+	harness.Sleep(ctx, 10*meanRequestTime) // waits for the attempts in flight
 	f.shared.sendToCanary.Store(false)
 	after, err := f.resourceUse(ctx)
 	if err != nil {
--- a/internal/lab/experiment/routescale/routescale.go
+++ b/internal/lab/experiment/routescale/routescale.go
@@ -25,14 +25,14 @@
 type Point struct {
 	Sidecars int     `json:"sidecars"`
 	Commits  int     `json:"commits"`    // measured changes
-	ActP50   float64 `json:"act_p50_ms"` // from the call of a change until the last sidecar acts on it, median
-	ActP99   float64 `json:"act_p99_ms"` // the same, 99th percentile
+	ActP50   float64 `json:"act_p50_ms"` // time from the call of a change until the last sidecar acts on it, median
+	ActP99   float64 `json:"act_p99_ms"` // 99th percentile of the time of ActP50
 
 	Budget           int64   `json:"budget"`        // failures that the canary may have
 	Failures         int64   `json:"failures"`      // failed attempts to the canary
 	Attempts         int64   `json:"attempts"`      // attempts to the canary
-	LastAttemptAfter float64 `json:"after_ms"`      // from the end of the budget to the last attempt; 0: none later
-	RollbackAfter    float64 `json:"rolled_ms"`     // from the end of the budget until the last sidecar acts on the rollback
+	LastAttemptAfter float64 `json:"after_ms"`      // time from the budget's end to the last attempt; 0: none later
+	RollbackAfter    float64 `json:"rolled_ms"`     // time from the budget's end until all sidecars act on the rollback
 	BaselineFailures int64   `json:"base_failures"` // failed attempts of the baseline, with the same requests
 	BaselineAfter    float64 `json:"base_after_ms"` // LastAttemptAfter of the baseline
 
@@ -92,13 +92,13 @@
 // the canary.
 type simulatedSidecar struct {
 	client *routeclient.Client
-	wake   chan struct{} // capacity 1: the client has an update
+	wake   chan struct{} // capacity 1; receives a value when the client has an update
 	shared *sharedState
 
 	mu        sync.Mutex
-	actedAt   map[int64]time.Duration // time at which it applied each revision
-	rev       int64                   // of the current table
-	route     *route.Route            // with the rollout; nil: the table has none
+	actedAt   map[int64]time.Duration // time at which the sidecar applied each revision
+	rev       int64                   // revision of the current table
+	route     *route.Route            // route with the rollout; nil: the table has no such route
 	budget    balance.CanaryBudget
 	completed route.Count // completed attempts of one revision
 
--- a/internal/lab/experiment/scale/scale.go
+++ b/internal/lab/experiment/scale/scale.go
@@ -23,9 +23,9 @@
 	Servers          int     `json:"servers"`
 	Requests         int     `json:"requests"`
 	LabCPU           float64 `json:"lab_cpu_us_per_request"`
-	SidecarCPU       float64 `json:"sidecar_cpu_us_per_request"` // of all sidecars together, including their idle work
+	SidecarCPU       float64 `json:"sidecar_cpu_us_per_request"` // of all sidecars, with their idle work
 	LabRSS           float64 `json:"lab_rss_mb"`
-	SidecarRSS       float64 `json:"sidecar_rss_mb"` // peak of the sidecar that used the most
+	SidecarRSS       float64 `json:"sidecar_rss_mb"` // peak memory of the sidecar that used the most
 	Descriptors      int     `json:"lab_descriptors"`
 	LatenessP99      float64 `json:"lateness_p99_ms"`
 	Outcome          string  `json:"outcome"`
--- a/internal/lab/experiment/testbed/load.go
+++ b/internal/lab/experiment/testbed/load.go
@@ -24,7 +24,7 @@
 	class string
 	rate  float64        // requests per second over all connections; 0: closed loop
 	ids   *atomic.Uint64 // last request ID
-	conns []*conn        // nil: not connected
+	conns []*conn        // open connections; nil: not connected
 }
 
 // NewLoad returns a load of one class at a rate of requests per second over all connections. At rate 0 it is a closed
@@ -41,9 +41,9 @@
 
 // LoadResult is the outcome of the requests that a Load sent.
 type LoadResult struct {
-	Sent, Failed  int64         // number of requests
-	FailureReason string        // of one of the failed requests; empty: none failed
-	Duration      time.Duration // until the last response
+	Sent, Failed  int64         // numbers of requests
+	FailureReason string        // error text of one failed request; empty if none failed
+	Duration      time.Duration // time until the last response
 }
 
 // Drive sends requests for a duration and waits for the last responses. An error means that a connection failed to
@@ -111,7 +111,7 @@
 	head := fmt.Appendf(nil,
 		"GET /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Tenant-Id: %s\r\n"+
 			"X-Timeout-Ms: 2000\r\nX-Route-Key: %x\r\n\r\n", id, l.class, Tenant, id)
-	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // fails only if closed; then the write fails, too
+	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // fails only on a closed connection; then the write fails, too
 	if _, err := c.Write(head); err != nil {
 		return err.Error()
 	}
--- a/internal/lab/experiment/testbed/registry.go
+++ b/internal/lab/experiment/testbed/registry.go
@@ -16,7 +16,7 @@
 
 const (
 	registryHeartbeatInterval = 100 * time.Millisecond // time between two heartbeats of a replica
-	changeCallTimeout         = 5 * time.Second        // of one change request
+	changeCallTimeout         = 5 * time.Second        // timeout of one change request
 	maxChangeRetries          = 200
 	changeRetryWait           = 50 * time.Millisecond
 )
--- a/internal/lab/experiment/testbed/sidecar.go
+++ b/internal/lab/experiment/testbed/sidecar.go
@@ -23,7 +23,7 @@
 	*process.Child
 	Listen        string        // address at which clients connect
 	Management    string        // address of the management listener
-	StartDuration time.Duration // from the start of the process until it was ready
+	StartDuration time.Duration // time from the start of the process until it was ready
 }
 
 // Start starts a sidecar and waits until it is ready.
--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -16,7 +16,7 @@
 
 // step is one action of a fault and its time.
 type step struct {
-	at    time.Duration // since all parties were started
+	at    time.Duration // time since all parties were started
 	text  string        // description in the records and the report
 	phase faultPhase
 	run   func(context.Context) error
@@ -40,7 +40,7 @@
 // stepsByKind maps each kind of fault to the function that returns its steps.
 var stepsByKind = allSteps(serverSteps, linkSteps, discoverySteps, sidecarSteps, workloadSteps, memberSteps, replicaSteps, defectSteps)
 
-// allSteps returns the union of the tables.
+// allSteps returns the union of tables that map kinds of faults to functions.
 func allSteps(tables ...map[string]func(injection) []step) map[string]func(injection) []step {
 	all := map[string]func(injection) []step{}
 	for _, table := range tables {
@@ -167,7 +167,7 @@
 		case <-ctx.Done():
 			return nil
 		}
-		if undo == nil { // the injection failed
+		if undo == nil { // no undo function: the injection failed
 			return nil
 		}
 		return undo()
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -64,7 +64,7 @@
 // discoveryServices returns the simulated discovery services that a fault affects.
 func (r *run) discoveryServices(f scenario.Fault) []*agent.Agents {
 	if number, single := strings.CutPrefix(f.List, "#"); single {
-		i, _ := strconv.Atoi(number) // validated when the scenario was read
+		i, _ := strconv.Atoi(number) // no error: the number was validated when the scenario was read
 		return r.agents[i : i+1]
 	}
 	return r.agents
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -34,10 +34,10 @@
 	Program         string       // path of the sidecar program if the scenario names none
 	OlderProgram    string       // path of the program of older sidecars; empty: Program, without routes
 	RegistryProgram string       // path of the command that runs registry replicas; empty: this program
-	Seed            uint64       // 0: the scenario's seed
+	Seed            uint64       // seed of the run; 0: the scenario's seed
 	Dir             string       // folder for the files of the processes; empty: a temporary one that Run.Close removes
-	Progress        io.Writer    // for progress lines; nil: none are printed
-	Log             *slog.Logger // nil: nothing is logged
+	Progress        io.Writer    // receives progress lines; nil: none are printed
+	Log             *slog.Logger // logger of the run; nil: nothing is logged
 
 	// FreeAddr returns the address at which a sidecar listens. If nil, FreeSidecarAddr is used.
 	FreeAddr func(sidecar int) (string, error)
@@ -53,13 +53,13 @@
 	Dir       string
 	Processes *process.Supervisor
 	Tasks     sync.WaitGroup // goroutines that end when the run's context ends
-	StartedAt time.Duration  // when all parties were up, on the clock of Events; times of the plan count from here
+	StartedAt time.Duration  // time when all parties were up, on the clock of Events; the plan's times count from here
 
 	reservations  []*relay.Reservation
-	removeDir     bool // Dir is temporary; Close removes it
+	removeDir     bool // Dir is temporary, so Close removes it
 	stopProcesses sync.Once
 	failureMu     sync.Mutex
-	failure       error // the first error passed to Fail
+	failure       error // first error passed to Fail
 }
 
 // New generates the plan of a scenario and prepares a run up to the start of its first process. The caller must call
--- a/internal/lab/harness/timer_lag.go
+++ b/internal/lab/harness/timer_lag.go
@@ -18,8 +18,8 @@
 
 // TimerLag is how late a periodic timer of this process fired.
 type TimerLag struct {
-	Lag    []time.Duration // of each tick
-	Stalls []Stall         // the ticks that were late by minStall or more
+	Lag    []time.Duration // lag of each tick of the timer
+	Stalls []Stall         // ticks that were late by minStall or more
 }
 
 func measureTimerLag(ctx context.Context) (t TimerLag) {
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -63,10 +63,10 @@
 
 // Spec describes a program to run.
 type Spec struct {
-	Name           string // of the child, in errors
+	Name           string // name of the child in error messages
 	Path           string
 	Args           []string
-	Env            []string // of the form key=value; nil: the lab's own environment
+	Env            []string // variables of the form key=value; nil: the lab's own environment
 	Dir            string   // working directory and folder of the log; created if missing
 	MaxDescriptors int      // limit of open file descriptors; 0: the lab's own limit
 }
@@ -81,10 +81,10 @@
 	cmd   *exec.Cmd
 	log   *logTail
 	ended chan struct{} // closed when the process has exited
-	err   error         // of the exit; valid after ended is closed
+	err   error         // error of the exit; valid after ended is closed
 
 	mu            sync.Mutex
-	stopRequested bool // Signal sent SIGTERM, SIGKILL or SIGINT
+	stopRequested bool // true once Signal has sent SIGTERM, SIGKILL or SIGINT
 }
 
 // Start starts a program and applies its descriptor limit.
@@ -233,7 +233,7 @@
 
 // Usage is the resource usage of a process.
 type Usage struct {
-	RSS, PeakRSS int64   // bytes
+	RSS, PeakRSS int64   // resident memory and its peak, in bytes
 	Descriptors  int     // number of open file descriptors
 	CPU          float64 // processor time used so far, in seconds
 }
@@ -293,11 +293,11 @@
 // lineWaiter waits for the first log line that contains a text.
 type lineWaiter struct {
 	text  string
-	found chan string // buffered; receives the line
+	found chan string // buffered channel that receives the line
 }
 
 const (
-	tailLines    = 60      // enough to include the lines before a crash's stack trace
+	tailLines    = 60      // kept lines of a log: enough to include the lines before a crash's stack trace
 	maxLineBytes = 4 << 10 // limit of partialLine; bytes beyond it are dropped until the write that ends the line
 )
 
--- a/internal/lab/registry_proxy.go
+++ b/internal/lab/registry_proxy.go
@@ -27,14 +27,14 @@
 )
 
 // registryProxy connects sidecars to the real registry in place of simulated discovery. Each replica has a proxy in
-// front of it. Each sidecar reaches the servers at its own addresses, so the proxy writes those into the entries of
-// the list. It also records which entries were sent to the sidecar. It changes nothing else in the protocol.
+// front of it. Each sidecar reaches the servers at its own addresses, so the proxy writes these addresses into the
+// list. It also records which entries were sent to the sidecar. It changes nothing else in the protocol.
 type registryProxy struct {
 	run            *run
 	cluster        *cluster.Cluster
-	proxies        []*relay.Port                           // by replica
-	serverByUID    map[string]int                          // server number by UID
-	rollbackDefect atomic.Pointer[rollouts.RollbackDefect] // nil if the defect is not planted
+	proxies        []*relay.Port                           // proxies in front of the replicas, by replica number
+	serverByUID    map[string]int                          // server numbers, by UID of the server
+	rollbackDefect atomic.Pointer[rollouts.RollbackDefect] // planted defect of rollbacks; nil if it is not planted
 
 	mu        sync.Mutex
 	removed   map[int]bool // by server: whether the last applied change removed its entry
@@ -49,8 +49,8 @@
 
 const (
 	writeQueue        = 1000                   // largest number of pending writes to the registry
-	heartbeatInterval = 100 * time.Millisecond // of the leader to its followers
-	writeRetryDelay   = 20 * time.Millisecond  // between two attempts of a write
+	heartbeatInterval = 100 * time.Millisecond // time between two heartbeats of the leader to its followers
+	writeRetryDelay   = 20 * time.Millisecond  // time between two attempts of a write
 )
 
 // openRegistry starts the replicas, writes the entries of all running servers to them, and opens the proxies.
@@ -156,7 +156,7 @@
 			s.applied[e.Number] = change
 			s.removed[e.Number] = e.State == agent.Gone
 			s.mu.Unlock()
-			_ = s.writeEntry(ctx, e) // it fails only when the run ends
+			_ = s.writeEntry(ctx, e) // writeEntry fails only when the run ends
 		}
 	}))
 }
@@ -209,10 +209,10 @@
 		return
 	}
 	outgoing.Header = req.Header.Clone()
-	// A transport, as it does not follow redirects: the sidecar does.
+	// Uses a transport, not a client, because a transport does not follow redirects: the sidecar does.
 	resp, err := (&http.Transport{DisableKeepAlives: true, DisableCompression: true}).RoundTrip(outgoing)
 	if err != nil {
-		return // the connection ends, as a connection to the replica would
+		return // the connection to the sidecar ends, as a connection to the replica would
 	}
 	defer resp.Body.Close()
 	if _, err := io.WriteString(conn, s.header(resp, conn.Caller)); err != nil {
@@ -261,7 +261,7 @@
 				if _, err := fmt.Fprintf(to, "%x\r\n%s\r\n", len(text), text); err != nil {
 					return err
 				}
-				sent() // only now, since a cut link can delay the line
+				sent() // called only after the write, since a cut link can delay the line
 			}
 		}
 		if err != nil {
@@ -285,8 +285,8 @@
 	return u.String()
 }
 
-// rewriteRoutes returns the line to send to a sidecar in place of a line of the registry's route table, which it
-// records.
+// rewriteRoutes returns the line to send to a sidecar in place of a line of the registry's route table, and records
+// the registry's line as sent.
 func (s *registryProxy) rewriteRoutes(line []byte) []byte {
 	if o := s.run.rollouts.Load(); o != nil {
 		o.RecordSentTable(line)
--- a/internal/lab/resend.go
+++ b/internal/lab/resend.go
@@ -11,11 +11,11 @@
 // resendRule selects the requests that a planted defect sends again, and how it does so.
 type resendRule struct {
 	defect   string // name of the defect; empty means none
-	sidecars []int  // whose requests are sent again
+	sidecars []int  // numbers of the sidecars whose requests are sent again
 }
 
-// resendDelay is the delay before "send-again", "tell-whole" and "send-often" send a request again. The first has
-// ended by then.
+// resendDelay is the delay before "send-again", "tell-whole" and "send-often" send a request again. The first
+// request has ended by then.
 const resendDelay = 1500 * time.Millisecond
 
 // observeRequest is called for each request that reaches a server. It sends the request again to another server if a
@@ -33,7 +33,7 @@
 	r.Tasks.Go(func() {
 		timeoutHeader := ""
 		if rule.defect == "tell-whole" {
-			timeoutHeader = "X-Timeout-Ms: " + req.Header.Get("X-Timeout-Ms") + "\r\n" // not reduced by the time since then
+			timeoutHeader = "X-Timeout-Ms: " + req.Header.Get("X-Timeout-Ms") + "\r\n" // not reduced by resendDelay
 		}
 		// A resend that fails is no defect, so its error is ignored.
 		send := func(id string) { _ = resend(other, req, id, timeoutHeader, body) }
--- a/internal/lab/response_proxy.go
+++ b/internal/lab/response_proxy.go
@@ -15,7 +15,7 @@
 // responses.
 type responseProxy struct {
 	addr     string
-	defect   atomic.Pointer[string] // never nil; an empty string means none
+	defect   atomic.Pointer[string] // name of the planted defect; never nil, an empty string means none
 	listener net.Listener
 	wg       sync.WaitGroup
 	mu       sync.Mutex
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -30,16 +30,16 @@
 	requests        *client.RequestLog
 	pods            []*stock.Pod
 	servers         []*stock.Server
-	agents          []*agent.Agents                 // by simulated discovery service; each has an agent for every sidecar
+	agents          []*agent.Agents                 // by simulated discovery service, with an agent per sidecar
 	registry        *registryProxy                  // nil if discovery is simulated
 	rollouts        atomic.Pointer[rollouts.Driver] // nil if the scenario has no routes
 	members         *members.Network                // nil if the scenario has no membership
 	sidecars        []*sidecar
 	responseProxies []*responseProxy
 	load            *client.Load
-	arrivalDelays   []time.Duration // by arrival: how much later than planned it was sent
+	arrivalDelays   []time.Duration // by arrival: how much later than planned the request was sent
 	workDone        float64         // units of work that the servers have done
-	serverStarts    []atomic.Int64  // by server: its last start, in Unix ms; 0 if it was not started during the run
+	serverStarts    []atomic.Int64  // by server: time of the last start, in Unix ms; 0 if not started during the run
 	// serverClock is the offset of the servers' wall clock from that of the lab, in ms.
 	serverClock atomic.Int64
 
@@ -47,11 +47,11 @@
 	resendCount atomic.Int64
 
 	linkMu          sync.Mutex
-	links           map[[2]int]*relay.Link  // by numbers of sidecar and server
-	discoveryLinks  [][]*relay.Link         // by discovery service and sidecar
-	handshakeDelays []*relay.HandshakeDelay // all that were started
+	links           map[[2]int]*relay.Link  // links between sidecars and servers, by both numbers
+	discoveryLinks  [][]*relay.Link         // links to discovery, by discovery service and sidecar
+	handshakeDelays []*relay.HandshakeDelay // all handshake delays that were started
 
-	processWatchers sync.WaitGroup // goroutines that wait for processes to end; they end after those of Tasks
+	processWatchers sync.WaitGroup // goroutines that wait for processes to end; they end after the goroutines of Tasks
 }
 
 func newRun(base *harness.Run) *run {
@@ -71,7 +71,7 @@
 	r.Tasks.Go(func() { r.injectFaults(ctx) })
 	if r.Scenario.HasRoutes() {
 		o := rollouts.New(r.Run, r.registry.cluster)
-		r.rollouts.Store(o) // the sidecars already send requests
+		r.rollouts.Store(o) // atomic, because the sidecars already send requests
 		r.Tasks.Go(func() { o.Drive(ctx) })
 	}
 	r.arrivalDelays = r.load.Run(ctx)
@@ -107,7 +107,7 @@
 // Check computes the figures of the run from its records, and checks its invariants and expectations.
 func (r *run) Check(timers harness.TimerLag) *report.Report {
 	events := r.Events.Events()
-	for i := range events { // convert to the clock of the plan
+	for i := range events { // converts the times to the clock of the plan
 		events[i].T -= r.StartedAt
 	}
 	r.shiftArrivals(-r.StartedAt)
@@ -116,7 +116,7 @@
 		routes = o.Facts()
 	}
 	rep := report.New(r.Plan, events, r.workDone, routes, r.StallSpans(timers.Stalls))
-	if r.members != nil { // before the expectations, which require that some invariants were checked at least once
+	if r.members != nil { // checked first, as the expectations require that some invariants were checked at least once
 		facts := r.members.Facts()
 		invariant.CheckMembers(events, facts, rep.Verdict)
 		rep.Members = members.Result(events, facts)
@@ -137,7 +137,7 @@
 
 // Close ends all processes and parties that still run. It can be called in any state of the run.
 func (r *run) Close() {
-	for _, l := range r.handshakeDelays { // those that are still on if the run ended early
+	for _, l := range r.handshakeDelays { // stops the handshake delays that are still active if the run ended early
 		_ = l.Stop()
 	}
 	for _, s := range r.sidecars {
--- a/internal/lab/sampling.go
+++ b/internal/lab/sampling.go
@@ -35,7 +35,7 @@
 		for _, pid := range pids {
 			u, err := process.Measure(pid)
 			if err != nil {
-				return // the process has just ended, which awaitEnd records
+				return // the process has just ended; awaitEnd records the end
 			}
 			e.N, e.Status, e.Work = e.N+u.RSS, e.Status+int32(u.Descriptors), e.Work+u.CPU
 		}
@@ -44,7 +44,7 @@
 		}
 	}
 	addSample(record.None, 0, os.Getpid())
-	for i, s := range r.sidecars { // the limits apply to both processes of an upgrade together
+	for i, s := range r.sidecars { // one sample per sidecar: the limits apply to both processes of an upgrade together
 		pids, past := s.processes()
 		addSample(i, past, pids...)
 	}
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -43,7 +43,7 @@
 	for i := range r.Plan.Sidecars {
 		p.Sidecars = append(p.Sidecars, i)
 	}
-	if !on { // the machine has lost the state of its connections
+	if !on { // resets the connections, because the machine has lost their state
 		r.eachLink(p, func(port *relay.Port, sidecar int, _ *relay.Link) { port.EachConn(sidecar, (*relay.Conn).Reset) })
 	}
 	return r.cut(p, relay.Both, on)
@@ -112,8 +112,8 @@
 	return harness.ForEach(servers, r.startServer)
 }
 
-// replaceServers starts a new machine with a new name for each of the servers, then lists the old ones as terminating
-// and ends them after their grace period.
+// replaceServers starts a new machine with a new name for each of the servers, then lists the old servers as
+// terminating and ends them after their grace period.
 func (r *run) replaceServers(ctx context.Context, p *scenario.FaultPlan) error {
 	if err := harness.ForEach(p.Replacements, r.startServer); err != nil {
 		return err
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -64,7 +64,7 @@
 func (s *sidecar) terminate(ctx context.Context) error {
 	defer time.AfterFunc(connectWindow, func() { s.noNewConns.Store(true) }).Stop()
 	s.stop(s.current(), s.run.Scenario.KillDelay())
-	s.noNewConns.Store(true) // also if the process ended before the timer fired
+	s.noNewConns.Store(true) // set here, too, since the process may have ended before the timer fired
 	err := s.launch(ctx)
 	s.noNewConns.Store(false)
 	return err
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -35,14 +35,14 @@
 	dir      string
 	listen   string
 	config   string     // path of the configuration file
-	configMu sync.Mutex // held while the file is replaced, since a restart and a move of discovery can coincide
+	configMu sync.Mutex // held while config is replaced, since a restart and a move of discovery can coincide
 	mu       sync.Mutex
 	child    *process.Child
 	oldChild *process.Child
 	pastCPU  float64 // CPU seconds of processes that have ended
 	starts   int
 
-	noNewConns atomic.Bool            // the clients open no new connections
+	noNewConns atomic.Bool            // true: the clients open no new connections
 	faults     fault.Config           // content of the file of faults; guarded by mu
 	startStall atomic.Int64           // planted defect: for how long a process is suspended at its start, in ns; 0: none
 	stopDefect atomic.Pointer[string] // planted defect at SIGTERM; nil or an empty string means none
@@ -78,7 +78,7 @@
 	r.responseProxies = make([]*responseProxy, len(r.Plan.Sidecars))
 	for i := range r.Plan.Sidecars {
 		s := &sidecar{run: r, number: i, dir: filepath.Join(r.Dir, r.Plan.Sidecars[i].Name)}
-		if r.Scenario.StartsLate(i) { // its name can be that of another sidecar
+		if r.Scenario.StartsLate(i) { // a sidecar that starts late can have the name of another sidecar
 			s.dir += "-late"
 		}
 		s.config = filepath.Join(s.dir, "config.json")
@@ -146,7 +146,7 @@
 	s.mu.Lock()
 	s.starts++
 	s.mu.Unlock()
-	started := r.Events.Now() // taken before the process can record anything
+	started := r.Events.Now() // start time, taken before the process can record anything
 	c, err := r.Processes.Start(process.Spec{
 		Name: p.Name, Path: r.programOf(s.number), Dir: s.dir, MaxDescriptors: r.Scenario.Sidecars.MaxSockets,
 		Env: []string{"NODE_CONFIG=" + s.config, "NODE_NAME=" + p.Name, "NODE_LISTEN=" + s.listen,
@@ -176,7 +176,7 @@
 			return fmt.Errorf("sidecar %d: %w", s.number, err)
 		}
 	}
-	r.processWatchers.Go(func() { s.awaitEnd(c) }) // an earlier end is a failed start, which is returned as an error
+	r.processWatchers.Go(func() { s.awaitEnd(c) }) // an end before this call is returned as a failed start
 	return nil
 }
 
