--- a/internal/lab/invariant/invariant.go
+++ b/internal/lab/invariant/invariant.go
@@ -107,7 +107,7 @@
 // processEnd is how a process ended after SIGTERM.
 type processEnd struct {
 	termAt, endedAt time.Duration
-	killed          bool // by SIGKILL, because it took too long to end
+	killed          bool // the process was ended by SIGKILL, because it took too long to end
 }
 
 // Check checks the events of a run, ordered by time, against all rules.
@@ -209,24 +209,24 @@
 // attempt is one attempt of a request, from the events of its server.
 type attempt struct {
 	server, connection int
-	from, to           time.Duration // arrival of the last byte; the server's response, or the close that it observed
+	from, to           time.Duration // arrival of the last byte; response or observed close at the server
 	rejected           bool
 }
 
 // requestEvents are the events of one request, and what the checks need of them.
 type requestEvents struct {
 	id             uint64
-	path           []int          // indices of its events in checker.events
+	path           []int          // indices of the request's events in checker.events
 	events         []record.Event // ordered by time
-	sends          []record.Event // sends by its client
+	sends          []record.Event // sends by the request's client
 	responses      int
 	attempts       []attempt
 	executions     int           // executions on servers
-	connectionLost bool          // its client's connection ended without a response
-	noAnswer       bool          // its client's wait ended without a response before the end of the run
+	connectionLost bool          // the client's connection ended without a response
+	noAnswer       bool          // the client's wait ended without a response before the end of the run
 	extraBytes     bool          // bytes followed the response
 	lastAt         time.Duration // time of the last event
-	unansweredAt   time.Duration // when its client knew that no response would come
+	unansweredAt   time.Duration // time at which the client knew that no response would come
 }
 
 // checkRequest checks one request against all invariants of requests.
@@ -281,7 +281,7 @@
 		}
 		if e.Kind == record.Rejected {
 			a.rejected = true
-			continue // the ResponseSent event that follows has the end
+			continue // the ResponseSent event that follows records the end of the attempt
 		}
 		a.to = e.T
 	}
@@ -343,9 +343,9 @@
 }
 
 // checkProcessEnd checks a request without a response that was in flight when its process ended after SIGTERM, and
-// reports whether the request is such a one. A process that ends by itself has to respond to every request that it
+// reports whether the request is of this kind. A process that ends by itself has to respond to every request that it
 // accepted, read or not. A request that SIGKILL interrupts is a breach if it arrived more than ServiceAfterTerm after
-// SIGTERM: the response to an earlier one was not due yet.
+// SIGTERM: the response to a request that arrived earlier was not due yet.
 func (c *checker) checkProcessEnd(r *requestEvents) bool {
 	sent, lost := r.sends[len(r.sends)-1], r.unansweredAt
 	for _, e := range c.ends[sent.Sidecar] {
@@ -422,7 +422,7 @@
 		case record.Notified:
 			_, notified := notifiedAt[key]
 			switch {
-			case e.N < latestStart[key]: // from a lagging list service, about an earlier start of the server
+			case e.N < latestStart[key]: // a lagging list service notified of an earlier start of the server
 			case e.Note == "Ready":
 				latestStart[key] = e.N
 				delete(notifiedAt, key)
--- a/internal/lab/invariant/members.go
+++ b/internal/lab/invariant/members.go
@@ -51,22 +51,22 @@
 	requestedAt, receivedAt time.Duration // the process took its status between these times
 	start                   int64         // start of the process, as it identifies itself
 	quota                   float64       // fraction of the fleet's total
-	forced, left            bool          // admitted by timeout; reported that it left
+	forced, left            bool          // forced: admitted by timeout; left: the process reported that it left
 }
 
 // member is one process of a sidecar or a list service replica.
 type member struct {
-	party      int32          // index of its sidecar or replica in Members.Names
+	party      int32          // index of the sidecar or replica in Members.Names
 	reports    []statusReport // ordered by time
 	servesFrom time.Duration
-	termAt     time.Duration // SIGTERM
+	termAt     time.Duration // time of SIGTERM
 	endedAt    time.Duration
 }
 
 // quotaInterval is a period in which a process took at least a certain quota.
 type quotaInterval struct {
 	from, to time.Duration
-	party    int32  // see member.party
+	party    int32  // index of the sidecar or replica in Members.Names
 	serial   uint64 // number of the process
 	minQuota float64
 	forced   bool
--- a/internal/lab/invariant/routes.go
+++ b/internal/lab/invariant/routes.go
@@ -20,7 +20,7 @@
 
 // Routes are the settings and faults that a run with rollouts is checked against.
 type Routes struct {
-	Rollouts     []Rollout     // by number in the plan
+	Rollouts     []Rollout     // rollouts by number in the plan
 	AuditResults []AuditResult // results of audit queries
 	// Latency is the longest one-way delay that a link adds.
 	Latency time.Duration
@@ -43,10 +43,10 @@
 	// LatencyObjectives are the times after which a response is a failure, by class. nil means that late responses are no
 	// failures.
 	LatencyObjectives []time.Duration
-	// After is the newest revision known before the rollout was posted, so that all of its own are later. It is negative
-	// for a rollout that was not posted.
+	// After is the newest revision known before the rollout was posted, so that all revisions of the rollout are later.
+	// After is negative for a rollout that was not posted.
 	After int64
-	// Final is its phase at the leader at the end of the run, or empty if it is unknown.
+	// Final is the rollout's phase at the leader at the end of the run, or empty if it is unknown.
 	Final string
 }
 
@@ -75,7 +75,7 @@
 	attempts    []int                       // indices of the FirstByte events with a revision or to a canary
 	lifetimes   map[int32][]processLifetime // by sidecar, ordered by start
 	endRevision map[int]int64               // revision at which a rollout was over, by rollout
-	rolledBack  map[int]bool                // whether that was a rollback, by rollout
+	rolledBack  map[int]bool                // whether a rollout ended by a rollback, by rollout
 	endedAt     map[int]time.Duration       // when a rollout was first reported to be over, by rollout
 }
 
@@ -119,7 +119,7 @@
 	case Started:
 		r.lifetimes[e.Sidecar] = append(all, processLifetime{e.T, forever})
 	case Ended, Crashed, Killed:
-		// The oldest process that is alive ends: in an upgrade that is the one that is replaced.
+		// The oldest process that is alive ends: in an upgrade, this is the replaced process.
 		for i := range all {
 			if all[i].to == forever {
 				if e.Note != Killed { // an Ended event follows
@@ -155,7 +155,7 @@
 	for _, i := range r.attempts {
 		e := &r.events[i]
 		if e.Rev == 0 {
-			continue // sent without a lease, to base servers only: see checkRouteFree
+			continue // the attempt was sent without a lease, to base servers only: see checkRouteFree
 		}
 		k, _ := slices.BinarySearchFunc(closedReports, e.Rev, func(s closedReport, rev int64) int { return cmp.Compare(s.rev, rev) })
 		if k == len(closedReports) {
@@ -192,8 +192,8 @@
 
 // outcome is the state of one attempt to a canary, from the events of its server.
 type outcome struct {
-	first    int  // index of the event of its first byte
-	complete bool // its last byte arrived: it is not sent again on another connection
+	first    int  // index of the event of the attempt's first byte
+	complete bool // the attempt's last byte arrived: the attempt is not sent again on another connection
 	ended    bool
 }
 
--- a/internal/lab/invariant/slow_start.go
+++ b/internal/lab/invariant/slow_start.go
@@ -10,7 +10,7 @@
 
 // SlowStart limits what all sidecars together may send a server that has just started.
 type SlowStart struct {
-	InitialCapacity   float64       // fraction of its capacity right after its start
+	InitialCapacity   float64       // fraction of its capacity that a server has right after its start
 	Time              time.Duration // length of slow start
 	Window            time.Duration // time over which calls are counted
 	OverloadMultiple  float64       // multiple of its current capacity that a server may get; 0: calls are not checked
@@ -36,7 +36,7 @@
 // startedServer is a server in slow start.
 type startedServer struct {
 	startedAt     time.Duration
-	earlierStarts map[int64]bool // starts that sidecars had been notified of before this one
+	earlierStarts map[int64]bool // starts that sidecars had been notified of before this start
 	informed      map[int32]bool // sidecars that were notified of this start
 	calls         []record.Event // calls in the last window
 	exceeded      bool           // a breach has been recorded
--- a/internal/lab/invariant/table.go
+++ b/internal/lab/invariant/table.go
@@ -2,8 +2,8 @@
 
 // Invariant is a rule that no run may break.
 type Invariant struct {
-	Name string // as in reports and in scenario files
-	Page string // the page that states it
+	Name string // name in reports and in scenario files
+	Page string // page that states the invariant
 	// The functions that check it, each on some of the events. The invariants of the list service have none: package lab
 	// checks them during the run.
 	checkRequest func(c *checker, r *requestEvents) // checks one request
@@ -25,7 +25,7 @@
 	Linearizable  = "linearizable"   // some sequential order of the calls explains the results of all calls on each entry
 	WatchersAgree = "watchers-agree" // all watchers have the same list at each revision
 	DiskHonest    = "disk-honest"    // a replica with a failed disk writes nothing, reports the failure, and recovers
-	ListAge       = "age-told"       // a list has every write acknowledged before the time that the list is stated to be of
+	ListAge       = "age-told"       // a list has every write acknowledged before the time that its replica states
 )
 
 // all lists the invariants in the order in which they are checked.
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -146,15 +146,15 @@
 	result *Result
 	warmUp time.Duration
 
-	outcomes                             []requestOutcome // by index of the arrival
-	attempts, rejected, failed           int              // client attempts
-	windowAttempts, windowRejected       []int            // client attempts by window
+	outcomes                             []requestOutcome // outcomes by index of the arrival
+	attempts, rejected, failed           int              // numbers of client attempts
+	windowAttempts, windowRejected       []int            // numbers of client attempts by window
 	windowFailed                         []int
 	serverAttempts, forwarded, crossZone int
 	forwardedIDs                         map[uint64]bool // client attempts that reached a server
 	endedIDs                             map[uint64]bool // client attempts counted as rejected or failed
 	usefulWork                           float64         // work of the requests that were served
-	rss                                  [][]rssSample   // by sidecar
+	rss                                  [][]rssSample   // samples by sidecar
 }
 
 // Compute computes the figures of a run from its recorded events. The parameter workDone is the work that all servers
--- a/internal/lab/members/network.go
+++ b/internal/lab/members/network.go
@@ -34,15 +34,15 @@
 // parties.
 type Network struct {
 	run            *harness.Run
-	registry       *cluster.Cluster // nil: no replica is a member
+	registry       *cluster.Cluster // nil if no replica is a member
 	partyCount     int
 	partyByAddr    map[string]int        // party number by source IP address
-	links          [][]*relay.Link       // for connections, by calling and called party
-	packetLinks    [][]*relay.PacketLink // for packets, by sending and receiving party
+	links          [][]*relay.Link       // links for connections, by calling and called party
+	packetLinks    [][]*relay.PacketLink // links for packets, by sending and receiving party
 	blockedPackets *relay.PacketLink     // drops packets from unknown addresses
 
 	mu           sync.Mutex
-	endpoints    [][]*Endpoint // by party, oldest first
+	endpoints    [][]*Endpoint // endpoints by party, oldest first
 	activeFaults []*scenario.FaultPlan
 	lastSerial   uint64
 	serials      map[*process.Child]uint64 // serial number of each polled process
@@ -55,7 +55,7 @@
 // Endpoint is the proxy at the advertised address of a process. Successive processes of a party may share an endpoint.
 type Endpoint struct {
 	party       int
-	bindAddr    string // where the process listens
+	bindAddr    string // address at which the process listens
 	proxy       *relay.Port
 	packetProxy *relay.PacketProxy
 	process     *process.Child // the process behind the endpoint; nil before SetProcess
--- a/internal/lab/members/result.go
+++ b/internal/lab/members/result.go
@@ -252,7 +252,7 @@
 			key := fmt.Sprint("frozen ", e.Sidecar)
 			if e.Note == invariant.Frozen {
 				faultEnds[key] = never
-			} else if faultEnds[key] == never { // resumed or killed
+			} else if faultEnds[key] == never { // the process was resumed or killed
 				faultEnds[key] = e.T
 			}
 		case e.Kind == record.Fault && blocksMessages(e.Note):
--- a/internal/lab/report/members.go
+++ b/internal/lab/report/members.go
@@ -14,25 +14,25 @@
 	Processes     int     `json:"processes"`  // processes whose status was requested
 	Answers       int     `json:"answers"`    // status reports received
 	MaxQuotaSum   float64 `json:"most_taken"` // greatest sum of the quotas; 1 is the fleet's total
-	MaxQuotaSumAt float64 `json:"taken_at_s"` // time of that sum, in seconds
+	MaxQuotaSumAt float64 `json:"taken_at_s"` // time of MaxQuotaSum, in seconds
 	// Deaths are processes that ended without leaving. Noticed and CountedOut are the times from a death until each
 	// remaining process reported the dead one as unreachable, and until it no longer counted it.
 	Deaths     int   `json:"deaths"`
 	Noticed    Times `json:"noticed"`
 	CountedOut Times `json:"counted_out"`
-	Left       Times `json:"left"` // from SIGTERM of a process that leaves until another process no longer counted it
+	Left       Times `json:"left"` // time from SIGTERM of a leaving process until another process no longer counted it
 	// FalseSilent counts reports of a running process as unreachable (state "silent"). UnexplainedSilent counts those of
 	// them that no freeze and no cut explains. FalseGone counts reports of a running process as proved gone.
 	FalseSilent       int      `json:"false_silent"`
 	UnexplainedSilent int      `json:"false_deaths"`
 	FalseGone         int      `json:"false_gone"`
-	FalseExamples     []string `json:"false_ones"` // the first of the unexplained reports
+	FalseExamples     []string `json:"false_ones"` // first reports counted in UnexplainedSilent, as text
 	Changes           int      `json:"changes"`    // changes of the members that a process counts, over all processes
 	// AgreeMS is the time in ms from the last event that changes the group until all processes counted the same number of
 	// members. -1 means that they did not within the run.
 	AgreeMS        float64 `json:"agree_ms"`
 	JoiningMembers int     `json:"newcomers"` // processes that joined during the run
-	Admitted       Times   `json:"admitted"`  // from when a joining member served until it was admitted
+	Admitted       Times   `json:"admitted"`  // time from when a joining member served until it was admitted
 	Forced         int     `json:"forced"`    // processes admitted by timeout, although not all members knew them
 	Known          [2]int  `json:"known"`     // least and greatest number of members that a process counted at the end
 	Reachable      [2]int  `json:"heard"`     // least and greatest number of members that a process could reach at the end
@@ -45,7 +45,7 @@
 	P50       float64         `json:"p50_ms"`
 	P99       float64         `json:"p99_ms"`
 	Max       float64         `json:"max_ms"`
-	Durations []time.Duration `json:"-"` // of the complete cases; sorted by Summarize
+	Durations []time.Duration `json:"-"` // durations of the complete cases; sorted by Summarize
 }
 
 // Add counts a case that took d. ok is false if the case was not complete at the end of the run.
--- a/internal/lab/report/outcome.go
+++ b/internal/lab/report/outcome.go
@@ -42,7 +42,7 @@
 	Missed   []string           `json:"missed"` // expectations that were not met, as sentences
 	Lateness Lateness           `json:"lateness"`
 	Events   int                `json:"events"`
-	Registry *RegistryResult    `json:"registry,omitempty"` // only of a run of the list service without sidecars
+	Registry *RegistryResult    `json:"registry,omitempty"` // set only for a run of the list service without sidecars
 	Routes   *RoutesResult      `json:"routes,omitempty"`
 	Members  *MembersResult     `json:"members,omitempty"`
 	// ZoneFaults report how traffic left zones with faults and returned. Only simulated runs, which record each send, have
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -83,7 +83,7 @@
 		p.Add(line)
 		p.Legend.Add(one.name, line)
 	}
-	p.Legend.YOffs = PlotHeight / 3 // between the lines near 1 and the lines near 0
+	p.Legend.YOffs = PlotHeight / 3 // places the legend between the lines near 1 and the lines near 0
 	return p, nil
 }
 
--- a/internal/lab/report/registry.go
+++ b/internal/lab/report/registry.go
@@ -10,21 +10,21 @@
 type RegistryResult struct {
 	Replicas          int               `json:"copies"`
 	Watchers          int               `json:"watchers"`
-	Writes            int               `json:"writes"`     // acknowledged
-	Conflicts         int               `json:"conflicts"`  // rejected because their condition did not hold
-	Rejected          int               `json:"refused"`    // rejected because there was no leader; certainly not applied
-	Unknown           int               `json:"unknown"`    // no response; applied or not
+	Writes            int               `json:"writes"`     // acknowledged writes
+	Conflicts         int               `json:"conflicts"`  // writes rejected because their condition did not hold
+	Rejected          int               `json:"refused"`    // writes rejected without a leader; certainly not applied
+	Unknown           int               `json:"unknown"`    // writes without a response; applied or not
 	Gets              int               `json:"gets"`       // reads of single entries
 	Reads             int               `json:"reads"`      // reads of whole lists, from any replica
 	FailedReads       int               `json:"reads_lost"` // reads to which no replica responded
 	Lines             int64             `json:"lines"`      // lines received by watchers
 	RestartedWatches  int64             `json:"rejoins"`    // watches that ended and were restarted
 	NotifyP50         float64           `json:"tell_p50_ms"`
-	NotifyP99         float64           `json:"tell_p99_ms"` // from the call of a write until the last watcher has it
+	NotifyP99         float64           `json:"tell_p99_ms"` // from a write's call until the last watcher has the write
 	NotifyMax         float64           `json:"tell_max_ms"`
-	WriteGaps         []float64         `json:"gaps_ms"`    // after each fault, until a write called since then is acknowledged
-	RestartTimes      []float64         `json:"returns_ms"` // of killed replicas, from their restart until they had the list
-	DiskRecoveryTimes []float64         `json:"heals_ms"`   // of failed disks, from when a disk works again until its replica had the list
+	WriteGaps         []float64         `json:"gaps_ms"`    // from each fault until a later write is acknowledged
+	RestartTimes      []float64         `json:"returns_ms"` // from a killed replica's restart until it had the list
+	DiskRecoveryTimes []float64         `json:"heals_ms"`   // from a disk's repair until its replica had the list
 	MaxListAgeMS      float64           `json:"oldest_ms"`  // greatest age that a replica stated for a list
 	Processes         []measure.Process `json:"parties"`
 }
--- a/internal/lab/rollouts/driver.go
+++ b/internal/lab/rollouts/driver.go
@@ -38,7 +38,7 @@
 	newestRev    int64                   // newest revision of the published tables
 	newestClosed int64                   // newest revision reported as closed
 	revisions    map[int64]bool          // revisions of all published tables
-	postedAfter  []int64                 // by rollout: invariant.Rollout.After; -1: not posted or rejected
+	postedAfter  []int64                 // by rollout: invariant.Rollout.After; -1 if not posted or rejected
 	rejections   []string                // by rollout: reason of the rejection; empty: accepted
 	rolloutViews []rolloutView           // by rollout: newest state reported
 	finalPhases  []string                // by rollout: phase on the leader at the end
@@ -379,7 +379,7 @@
 }
 
 const (
-	collectTimeout      = 15 * time.Second // for all requests of Collect
+	collectTimeout      = 15 * time.Second // timeout of all requests of Collect together
 	maxAuditedRevisions = 12               // maximum revisions audited at the end
 	auditWindows        = 6                // random time windows queried for each revision
 )
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -39,7 +39,7 @@
 const (
 	maxSidecars = 1000
 	maxServers  = 5000
-	maxBytes    = 32 << 20 // of a request or response body
+	maxBytes    = 32 << 20 // maximum size of a request or response body
 	maxDelay    = float64(10 * time.Second)
 )
 
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -63,7 +63,7 @@
 	}
 }
 
-const defaultQueue = 900 // requests
+const defaultQueue = 900 // default of ServerKind.Queue, in requests
 
 func defaultServerKinds() []ServerKind {
 	standard := ServerKind{Name: "standard", Fraction: 0.41, Speed: Range{0.85, 1.1},
--- a/internal/lab/scenario/fault_kinds.go
+++ b/internal/lab/scenario/fault_kinds.go
@@ -121,8 +121,8 @@
 
 const (
 	happensOnce faultTiming = iota
-	hasDuration             // needs `for`
-	staggered               // happens to one sidecar after another, at intervals of `every`
+	hasDuration             // the fault needs the key `for`
+	staggered               // the fault happens to one sidecar after another, at intervals of `every`
 )
 
 // faultKind describes a kind of fault.
@@ -153,8 +153,8 @@
 	memberDirections = []string{DirectionTo, DirectionFrom, DirectionBoth, DirectionIn}
 
 	fractionRange  = &Range{0, 1}
-	delayRange     = &Range{0, 600}    // seconds
-	clockStepRange = &Range{-1e6, 1e6} // seconds
+	delayRange     = &Range{0, 600}    // valid delays in seconds
+	clockStepRange = &Range{-1e6, 1e6} // valid steps of a clock in seconds
 )
 
 // maxLinkBytes is the maximum size of faults that state bytes of a link, or bytes per second.
--- a/internal/lab/scenario/leave.go
+++ b/internal/lab/scenario/leave.go
@@ -8,9 +8,9 @@
 
 // Ways in which a client abandons a request before the response.
 const (
-	LeaveClose     = "close"      // it closes the connection
-	LeaveHalfClose = "half-close" // it closes the sending side and goes on reading
-	LeaveReset     = "reset"      // it resets the connection
+	LeaveClose     = "close"      // the client closes the connection
+	LeaveHalfClose = "half-close" // the client closes the sending side and goes on reading
+	LeaveReset     = "reset"      // the client resets the connection
 )
 
 // LeaveModes returns the ways in which a client can abandon a request.
--- a/internal/lab/scenario/members.go
+++ b/internal/lab/scenario/members.go
@@ -14,7 +14,7 @@
 	Seeds         string   `toml:"seeds"`        // selector of the seeds among the sidecars that run from the start
 	Peers         int      `toml:"peers"`        // sidecars assumed before any member is known; 0 means those at the start
 	LateCount     int      `toml:"late"`         // number of sidecars, the last ones, that start late
-	LateStart     Duration `toml:"late_at"`      // time at which those start
+	LateStart     Duration `toml:"late_at"`      // time at which the late sidecars start
 	// ReuseNames means that sidecars that start late have the names of the first ones.
 	ReuseNames bool `toml:"reuse_names"`
 	// KeepAddress means that a restarted process has the address of its predecessor.
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -32,7 +32,7 @@
 type ServerKindPlan struct {
 	SlotsPerCore int     // requests that a core works on at the same time
 	PauseEvery   float64 // mean seconds between pauses; 0 means no pauses
-	PauseLength  float64 // maximum milliseconds
+	PauseLength  float64 // maximum length of a pause in milliseconds
 	PauseGrowth  float64 // relative growth of a pause with all slots in use
 }
 
@@ -53,7 +53,7 @@
 type SidecarPlan struct {
 	Name   string
 	Zone   int
-	Weight float64 // its fraction of the traffic
+	Weight float64 // fraction of the traffic that goes to the sidecar
 	Seed   uint64
 }
 
@@ -63,7 +63,7 @@
 	Sidecar int
 	Class   int
 	Tenant  int
-	Work    float64 // milliseconds on a core of speed 1
+	Work    float64 // work of the request, in milliseconds on a core of speed 1
 	Seed    uint64  // seed of its client's random numbers
 	Keyless bool    // whether its client sends no route key
 }
@@ -72,8 +72,8 @@
 type FaultPlan struct {
 	At, Until    time.Duration // begin and end from the start of the run; equal for a fault that happens once
 	Fault        Fault
-	Servers      []int // indexes
-	Sidecars     []int // indexes
+	Servers      []int // indexes of the servers that the fault acts on
+	Sidecars     []int // indexes of the sidecars that the fault acts on
 	Replacements []int // indexes of the spare servers that replace Servers
 }
 
@@ -116,7 +116,7 @@
 // ignores faults and the longer latency of a zone at its limit.
 func (p *Plan) MinCrossZone() float64 {
 	zones := len(p.Scenario.Network.Zones)
-	capacity := make([]float64, zones) // work per millisecond
+	capacity := make([]float64, zones) // capacity of each zone, in work per millisecond
 	for i := range p.Servers {
 		if s := &p.Servers[i]; !s.Spare {
 			capacity[s.Zone] += p.ServerCapacity(i)
--- a/internal/lab/scenario/routes.go
+++ b/internal/lab/scenario/routes.go
@@ -36,14 +36,14 @@
 	Kinds   []string `toml:"kinds"`
 	Pods    []int    `toml:"pods"`
 	Zones   []string `toml:"zones"`
-	Servers string   `toml:"servers"` // selector as of a fault: 3, 20%, #4
+	Servers string   `toml:"servers"` // selector of servers, as in a fault: 3, 20%, #4
 }
 
 // RouteTenant holds the permissions that operators grant a tenant.
 type RouteTenant struct {
 	Name        string   `toml:"name"`
-	Subsets     []string `toml:"subsets"`   // subsets that its rollouts can use
-	MaxFraction float64  `toml:"max_share"` // maximum fraction of its requests in a canary; 0 means all
+	Subsets     []string `toml:"subsets"`   // subsets that the tenant's rollouts can use
+	MaxFraction float64  `toml:"max_share"` // maximum fraction of the tenant's requests in a canary; 0 means all
 	MaxRollouts int      `toml:"rollouts"`  // maximum rollouts at the same time; 0 means one
 }
 
@@ -57,7 +57,7 @@
 	Steps     []RolloutStep `toml:"steps"`
 	Budget    int64         `toml:"budget"` // failures that the rollout may cause
 	CountLate bool          `toml:"late"`   // whether late responses count as failures
-	AtEnd     string        `toml:"at_end"` // "keep" (default) or "return", after the last step
+	AtEnd     string        `toml:"at_end"` // what follows the last step: "keep" (default) or "return"
 	PostTwice bool          `toml:"twice"`  // whether the same text is posted a second time
 }
 
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -124,7 +124,7 @@
 	AttemptTimeoutFraction float64  `toml:"try_share"` // timeout of a client attempt as a fraction of the deadline of its class
 	RetryAfterFraction     float64  `toml:"honour"`    // fraction of clients that wait for Retry-After
 	EarlyLeaveFraction     float64  `toml:"impatient"` // fraction of client attempts that the client abandons before the response
-	LeaveModes             []string `toml:"leave"`     // ways in which it abandons them, one drawn for each; empty means LeaveClose
+	LeaveModes             []string `toml:"leave"`     // ways to abandon an attempt, one drawn each time; empty: LeaveClose
 	PipelinedFraction      float64  `toml:"pipelined"` // fraction of client attempts followed by the first bytes of the next request
 	ResponseBytes          int      `toml:"answer"`
 }
@@ -137,7 +137,7 @@
 	Spread           Duration `toml:"spread"`        // time between the notice to the first sidecar and to the last
 	Services         int      `toml:"copies"`        // number of list services, all of which each sidecar follows
 	RegistryReplicas int      `toml:"registry"`      // number of replicas of the real list service; 0 means stand-ins
-	MaxStaleness     Duration `toml:"most_stale"`    // as in Registry, for these replicas
+	MaxStaleness     Duration `toml:"most_stale"`    // as Registry.MaxStaleness, for replicas of the real list service
 	Zones            []string `toml:"zones"`         // zone of each list service; empty means none in the sidecars' configuration
 	SuspectFraction  float64  `toml:"doubt_share"`   // fraction by which a list must shrink for sidecars to suspect it; 0 means never
 	StaleAfter       Duration `toml:"stale"`         // age of the list from which sidecars rely on outcomes of requests; 0 means never
@@ -145,7 +145,7 @@
 
 // Registry describes a run of the real list service without sidecars: its replicas, writers and watchers.
 type Registry struct {
-	Replicas          int      `toml:"copies"` // 0 means a run with sidecars
+	Replicas          int      `toml:"copies"` // number of replicas; 0 means a run with sidecars
 	Writers           int      `toml:"writers"`
 	Watchers          int      `toml:"watchers"`
 	Entries           int      `toml:"entries"` // number of entries that the writers change
@@ -173,7 +173,7 @@
 
 // Distributions of the work of a class.
 const (
-	DistLognormal   = "lognormal" // with the CV of the class; a CV of 0 means equal work for all requests
+	DistLognormal   = "lognormal" // lognormal with the CV of the class; a CV of 0 means equal work for all requests
 	DistExponential = "exp"
 )
 
@@ -203,7 +203,7 @@
 type Tenant struct {
 	Name        string  `toml:"name"`
 	Fraction    float64 `toml:"share"`
-	UsageFactor float64 `toml:"usage"` // ratio of its traffic to its fraction
+	UsageFactor float64 `toml:"usage"` // ratio of the tenant's traffic to its fraction
 }
 
 // Expect holds the expected results of a run. An absent key expects nothing. Results exclude the warm-up.
--- a/internal/lab/simulate/client_request.go
+++ b/internal/lab/simulate/client_request.go
@@ -17,7 +17,7 @@
 	number          int
 	arrival         *scenario.Arrival
 	rng             *rand.Rand
-	deadline        float64 // simulated time in ms
+	deadline        float64 // deadline of the request, in ms of simulated time
 	obeysRetryAfter bool    // the client waits for the time of a Retry-After
 	attempts        int     // number of attempts made
 }
@@ -108,11 +108,11 @@
 	request    *clientRequest
 	sidecar    *sidecar
 	id         uint64
-	deadline   float64          // simulated time in ms
+	deadline   float64          // deadline of the attempt, in ms of simulated time
 	clientDone bool             // the client has disconnected, timed out or received its response
 	overdue    bool             // the client has timed out and still reads
 	final      bool             // the final response is sent, or the client no longer reads
-	attempts   []*serverAttempt // in the order of their sends
+	attempts   []*serverAttempt // server attempts in the order of their sends
 }
 
 func (c *clientAttempt) record(k record.Kind, e record.Event) {
--- a/internal/lab/simulate/fleet.go
+++ b/internal/lab/simulate/fleet.go
@@ -16,7 +16,7 @@
 type Members struct {
 	Count   CountMode
 	Peers   int           // number of sidecars that run at the start (those with the lowest numbers), and the number in all settings
-	Changes []FleetChange // in any order
+	Changes []FleetChange // changes of the fleet, in any order
 	// MeanWork is the assumed work of a request at a server in slow start, in milliseconds of a core of speed 1. The
 	// server crashes with more than N + 3√N + 3 requests in a window of the rules' overload time, where N is the
 	// overload multiple times the number of requests that the server's capacity at the start of the window allows in
@@ -31,9 +31,9 @@
 const (
 	CountNone       CountMode = "none"   // sidecars get no fleet size
 	CountFixed      CountMode = "fixed"  // sidecars get Members.Peers once
-	CountReachable  CountMode = "naive"  // each counts the reachable members, and a lower count applies at once
+	CountReachable  CountMode = "naive"  // each sidecar counts the reachable members, and a lower count applies at once
 	CountMembership CountMode = "rule"   // the rule of package internal/membership
-	CountEarned     CountMode = "earned" // no assumed quota: each has only the quota that its own responses earn
+	CountEarned     CountMode = "earned" // no assumed quota: a sidecar has only the quota that its own responses earn
 	CountUnbounded  CountMode = "free"   // the assumed quota is too large to limit a sidecar
 )
 
@@ -44,7 +44,7 @@
 
 // FleetChange is one change of the fleet of sidecars. Sidecars are identified by number.
 type FleetChange struct {
-	At    float64 // ms since the start of the run
+	At    float64 // time of the change, in ms since the start of the run
 	Stop  []int   // processes that end without notice
 	Start []int   // processes that start with empty state
 	// Sides has the side of each sidecar in a network partition from now on. Sidecars on the same side reach each
@@ -54,7 +54,7 @@
 
 // MembersResult is the result of a run in which the fleet changes.
 type MembersResult struct {
-	Starts []SlowStart // sorted by time
+	Starts []SlowStart // slow starts of servers, sorted by time
 	// MaxQuota is the greatest sum of all sidecars' quotas at one time, as a fraction of the fleet's allowance. It
 	// covers the time from the first change, or the whole run if there is no change. MeanQuota is the mean over the
 	// same time.
@@ -65,7 +65,7 @@
 // SlowStart is the load on a server during the slow start after one of its starts.
 type SlowStart struct {
 	Server     int
-	At         float64 // ms since the start of the run
+	At         float64 // time of the server's start, in ms since the start of the run
 	PeakLoad   float64 // greatest number of requests in a window, divided by the limit of Members.MeanWork
 	Overloaded bool    // the server crashed
 }
@@ -82,7 +82,7 @@
 	sim    *simulation
 	rng    *rand.Rand   // random stream of the delays between sidecars
 	sides  []int        // side of each sidecar in the current partition
-	views  []memberView // by sidecar
+	views  []memberView // view of each sidecar
 	result MembersResult
 }
 
--- a/internal/lab/simulate/member_view.go
+++ b/internal/lab/simulate/member_view.go
@@ -12,9 +12,9 @@
 
 // The shortest and the longest delays in ms.
 var (
-	observeDelay = [2]float64{200, 1000}  // until a start, the end of a partition or an acknowledgement is observed
+	observeDelay = [2]float64{200, 1000}  // delay until a start, a partition's end or an acknowledgement is observed
 	detectDelay  = [2]float64{3000, 5000} // from the end of a process or the start of a partition until the failure detector detects it
-	proofDelay   = [2]float64{0, 2000}    // from the detection until the member is proved gone
+	proofDelay   = [2]float64{0, 2000}    // delay from the detection until the member is proved gone
 )
 
 const (
@@ -27,9 +27,9 @@
 // The flags of a member in a view. The constants known, reachable and seen are the bit numbers of the flags:
 // memberView.counts[k] is the number of members with bit k set.
 const (
-	flagKnown     = 1 << iota // not proved gone
-	flagReachable             // the failure detector has not reported it
-	flagSeen                  // has been known at some time
+	flagKnown     = 1 << iota // the member is not proved gone
+	flagReachable             // the failure detector has not reported the member
+	flagSeen                  // the member has been known at some time
 
 	known     = 0
 	reachable = 1
@@ -38,12 +38,12 @@
 
 // memberView is one sidecar's view of the fleet.
 type memberView struct {
-	flags               []uint8 // by sidecar
+	flags               []uint8 // flags of each member, by number of the sidecar
 	counts              [3]int  // numbers of known, reachable and seen members, including itself
 	pendingObservations []observation
 	startedAt           float64           // start of the sidecar's process, in simulated ms
 	admitted            bool              // whether the member is admitted to the group, which lasts until its process ends
-	fleetSize           balance.FleetSize // size that was reported last
+	fleetSize           balance.FleetSize // last size that was reported to the balancer
 	reportedAt          float64           // simulated time in ms of the last report of fleetSize
 	clockJumps          float64           // number of jumps of the balancer's clock
 }
@@ -51,7 +51,7 @@
 // observation is a scheduled change of a member's flags in a view. It is dropped if the member's incarnation has
 // changed by then.
 type observation struct {
-	at                  float64 // simulated time in ms
+	at                  float64 // time of the change, in ms of simulated time
 	member, incarnation int
 	set, unset          uint8
 }
--- a/internal/lab/simulate/server_attempt.go
+++ b/internal/lab/simulate/server_attempt.go
@@ -24,7 +24,7 @@
 	server           *server
 	number           int     // index among the attempts of the client attempt
 	connection       int16   // number of the connection at the server, from 1
-	sentAt           float64 // simulated time in ms
+	sentAt           float64 // time of the send, in ms of simulated time
 	task             *stock.Task
 	reusedConnection bool
 	reachedServer    bool
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -44,9 +44,9 @@
 
 // Result is the result of a simulated run.
 type Result struct {
-	Events   []record.Event // sorted by time
+	Events   []record.Event // recorded events, sorted by time
 	WorkDone float64        // work of all servers, in milliseconds of a core of speed 1
-	Sends    []Send         // sorted by time
+	Sends    []Send         // sends of all sidecars, sorted by time
 
 	Members *MembersResult // nil if Options.Members is nil
 }
@@ -96,7 +96,7 @@
 	connections                int16
 	listVersion                int            // number of published changes of this server
 	listed                     balance.Server // current entry in discovery, maintained only if simulation.members is set
-	listedVersion              int            // listVersion of listed
+	listedVersion              int            // number of the published change that listed contains
 	slowStart                  *slowStartLoad // load since the last start, nil if it is not tracked
 }
 
@@ -356,7 +356,7 @@
 		return
 	}
 	due := math.Max(runStart+ms(next), sim.Now())
-	if p.nextAdvance >= sim.Now() && p.nextAdvance <= due { // scheduled early enough already
+	if p.nextAdvance >= sim.Now() && p.nextAdvance <= due { // an advance is already scheduled early enough
 		return
 	}
 	p.nextAdvance = due
--- a/internal/lab/simulate/zone_faults.go
+++ b/internal/lab/simulate/zone_faults.go
@@ -10,7 +10,7 @@
 
 // Send is one attempt that a sidecar made, whether or not it reached its server.
 type Send struct {
-	At            float64 // ms since the start of the run
+	At            float64 // time of the send, in ms since the start of the run
 	Sidecar       int
 	Server        int
 	First         bool    // first attempt of its client attempt
@@ -44,10 +44,10 @@
 const (
 	evacuatedFraction = 0.01
 	recoveredFraction = 0.8
-	recoveryWindow    = 2000.0 // ms
-	recoveryStep      = 250.0  // ms
-	usualWindow       = 5000.0 // ms before the fault, for the usual fraction of first sends
-	loadWindow        = 1000.0 // ms
+	recoveryWindow    = 2000.0 // length of the window of RecoveredAfter, in ms
+	recoveryStep      = 250.0  // time between the starts of two windows of RecoveredAfter, in ms
+	usualWindow       = 5000.0 // length of the window before the fault for the usual fraction of first sends, in ms
+	loadWindow        = 1000.0 // length of the window of PeakLoad, in ms
 	never             = -1.0   // value of EvacuatedAfter and RecoveredAfter if there is no such time
 )
 
@@ -91,9 +91,9 @@
 // zoneMeasure computes the figures of one fault of whole zones.
 type zoneMeasure struct {
 	plan        *scenario.Plan
-	sends       []Send // sorted by time
+	sends       []Send // sends of the run, sorted by time
 	hitZones    []bool
-	from, until float64 // ms since the start of the run
+	from, until float64 // start and end of the fault, in ms since the start of the run
 }
 
 func (m *zoneMeasure) measure(out *ZoneFault) {
@@ -162,7 +162,7 @@
 
 // peakLoad computes ZoneFault.PeakLoad.
 func (m *zoneMeasure) peakLoad() float64 {
-	capacity := 0.0 // work per millisecond
+	capacity := 0.0 // capacity of the servers in the other zones, in work per millisecond
 	for i := range m.plan.Servers {
 		if server := &m.plan.Servers[i]; !server.Spare && !m.hitZones[server.Zone] {
 			capacity += m.plan.ServerCapacity(i)
