--- a/cmd/marblelane/members_diff.go
+++ b/cmd/marblelane/members_diff.go
@@ -24,9 +24,9 @@
 // viewDiff is the result of querying several processes.
 type viewDiff struct {
 	InAgreement bool              `json:"in_agreement"`
-	Digests     map[string]string `json:"digests"` // by address, of the processes that answered both queries
+	Digests     map[string]string `json:"digests"` // digest by address, of the processes that answered both queries
 	Differences []view.Difference `json:"differences"`
-	Unobserved  map[string]string `json:"unasked"` // reason by address
+	Unobserved  map[string]string `json:"unasked"` // reason why a process was not observed, by address
 }
 
 func (c *membersDiff) Run(a *app) error {
@@ -119,7 +119,7 @@
 			}
 			fmt.Fprintf(t, "  %s\t%s\t%s\t%s\n", s.Addr, s.State, since, s.Proof)
 		}
-		_ = t.Flush() // as in printMembers
+		_ = t.Flush() // commands do not check write errors of their output
 	}
 	for _, addr := range slices.Sorted(maps.Keys(d.Unobserved)) {
 		fmt.Fprintf(w, "ADDR %s: query failed: %s\n", addr, d.Unobserved[addr])
--- a/cmd/marblelane/registry_replace_copy.go
+++ b/cmd/marblelane/registry_replace_copy.go
@@ -122,7 +122,7 @@
 		return false, fmt.Errorf("%w: %s is not a replica", errPermanent, r.Old)
 	}
 	if reason := aliveReason(old); reason != "" && !r.Force {
-		if old.Member == membership.Gone { // it ended a moment ago, and its last acknowledgement is still recent
+		if old.Member == membership.Gone { // the old replica has just ended; its last acknowledgement is recent
 			return false, fmt.Errorf("%s to be silent: %s", r.Old, reason)
 		}
 		return false, fmt.Errorf("%w: %s is alive: %s; --force replaces it anyway", errPermanent, r.Old, reason)
--- a/internal/fsys/fsys.go
+++ b/internal/fsys/fsys.go
@@ -39,9 +39,9 @@
 
 // Info describes a file.
 type Info struct {
-	Size  int64 // bytes
+	Size  int64 // size of the file, in bytes
 	Mode  fs.FileMode
-	Owner int // user ID, or UnknownOwner
+	Owner int // user ID of the owner, or UnknownOwner
 }
 
 // UnknownOwner is the owner of a file on a system that does not report file owners.
--- a/internal/knownfailures/entry.go
+++ b/internal/knownfailures/entry.go
@@ -30,7 +30,7 @@
 
 // TestID identifies a top-level test of a package.
 type TestID struct {
-	Package string // import path
+	Package string // import path of the package of the test
 	Name    string // name of the test function
 }
 
@@ -42,8 +42,8 @@
 	Test     TestID
 	Command  string // `go test` command that runs the test or its package, with the seed of the failure if there is one
 	Observed string // how the test fails
-	Issue    string // in the form `issue NUMBER`
-	Line     int    // line number in the file
+	Issue    string // issue of the failure, in the form `issue NUMBER`
+	Line     int    // line number of the entry in the file
 }
 
 // parseEntry parses and validates a line of the list.
--- a/internal/knownfailures/evaluator.go
+++ b/internal/knownfailures/evaluator.go
@@ -16,8 +16,8 @@
 type evaluator struct {
 	list               *List
 	out                io.Writer
-	packages           map[string]*packageRun // by import path
-	endedPackages      []*packageRun          // in the order in which they ended
+	packages           map[string]*packageRun // runs of the packages, by import path
+	endedPackages      []*packageRun          // packages that have ended, in this order
 	summaryLines       []string               // summary lines of the packages, printed again by report
 	unexpectedFailures []string               // failures that the list does not cover
 }
--- a/internal/knownfailures/package_run.go
+++ b/internal/knownfailures/package_run.go
@@ -56,8 +56,8 @@
 type packageRun struct {
 	importPath           string
 	result               result
-	tests                map[string]result // by name of the top-level test, only tests that have started
-	output               []outputLine      // cleared when the package has ended
+	tests                map[string]result // results of the tests that have started, by name of the top-level test
+	output               []outputLine      // output of the package so far; cleared when the package has ended
 	failedBuild          string            // package that did not build, empty if the build succeeded
 	failLineSeen         bool              // failLine was printed: all tests have finished, at least one failed
 	raceReported         bool              // the race detector reported a data race
--- a/internal/knownfailures/run.go
+++ b/internal/knownfailures/run.go
@@ -14,7 +14,7 @@
 // Runner runs a test command and accepts the failures of the listed tests.
 type Runner struct {
 	Dir    string    // directory of the module, empty for the current directory
-	List   *List     // known failures
+	List   *List     // list of the known failures
 	Out    io.Writer // receives the output of the tests and the report
 	ErrOut io.Writer // receives the standard error of the go command
 }
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -20,7 +20,7 @@
 // Listener is a net.Listener whose Accept returns an error only when the socket is closed or lost.
 type Listener struct {
 	net.Listener
-	name string // for logs and errors
+	name string // name of the listener in logs and errors
 	log  *slog.Logger
 
 	closed    chan struct{} // closed by Close
--- a/internal/membership/addrcheck/addrcheck.go
+++ b/internal/membership/addrcheck/addrcheck.go
@@ -26,7 +26,7 @@
 	}
 	ip, err := netip.ParseAddr(host)
 	if err != nil && host != "" {
-		return nil // a host name
+		return nil // the address is a host name, which Check does not resolve
 	}
 	if !ip.IsValid() || ip.IsUnspecified() || ip.IsMulticast() {
 		return fmt.Errorf("members.%s: %q is not an address that other members can reach (set advertise to one)", key, addr)
--- a/internal/membership/commands.go
+++ b/internal/membership/commands.go
@@ -12,7 +12,7 @@
 const (
 	// maxLeaveTime bounds the time for the library's leave broadcast.
 	maxLeaveTime = 2 * time.Second
-	// minLeaveTime is the shortest time for that broadcast, unless the caller's deadline is earlier.
+	// minLeaveTime is the shortest time for the leave broadcast, unless the caller's deadline is earlier.
 	minLeaveTime = 100 * time.Millisecond
 )
 
@@ -116,7 +116,7 @@
 		if err := i.library.Leave(timeout); err != nil {
 			o.log.Debug("members: leave broadcast incomplete", "err", err) // members that received it forward it
 		}
-		o.sendToReachable(i, text) // repeated, as packets may be lost
+		o.sendToReachable(i, text) // sends the message once more, as packets may be lost
 		i.shutdown()
 	}
 	_ = o.transport.Shutdown()
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -20,8 +20,8 @@
 
 // Defects that the lab plants to verify that its checks find them.
 const (
-	DefectTrustDetector = "trust-detector" // declares a member gone as soon as the failure detector declares it dead
-	DefectNoAdmission   = "no-admission"   // admits a joining process at once
+	DefectTrustDetector = "trust-detector" // a member is declared gone as soon as the failure detector declares it dead
+	DefectNoAdmission   = "no-admission"   // a joining process is admitted at once
 )
 
 // Config configures a Group.
--- a/internal/membership/group.go
+++ b/internal/membership/group.go
@@ -53,7 +53,7 @@
 	view    atomic.Pointer[roster.View]
 	peers   atomic.Pointer[peerSnapshot]
 	current atomic.Pointer[instance]
-	hasLeft atomic.Bool // Leave was called
+	hasLeft atomic.Bool // true once Leave was called
 
 	ctx       context.Context // cancelled by Close
 	cancel    func()
@@ -73,7 +73,7 @@
 type peerSnapshot struct {
 	unreachable []roster.Entry
 	present     []roster.Entry  // all other present processes; set only if none is reachable
-	reachable   map[string]bool // by address
+	reachable   map[string]bool // whether a member is reachable, by address
 }
 
 // exchangeRequest requests a push/pull with the process at addr from the joiner.
--- a/internal/membership/join_limiter.go
+++ b/internal/membership/join_limiter.go
@@ -11,7 +11,7 @@
 	joinBurst = 5
 	// joinsPerInterval is the number of calls per interval after the burst, without a slowdown.
 	joinsPerInterval = 2
-	// maxJoinSlowdown is the largest slowdown, which is the factor by which that rate is divided.
+	// maxJoinSlowdown is the largest slowdown, which is the factor by which joinsPerInterval is divided.
 	maxJoinSlowdown = 16
 	// Factors of the slowdown after a late timer, a failed call and a successful call.
 	lateTimerFactor   = 2
--- a/internal/membership/joiner.go
+++ b/internal/membership/joiner.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	resolveTimeout = 2 * time.Second // of a seed's DNS lookup
+	resolveTimeout = 2 * time.Second // timeout of the DNS lookup of a seed
 
 	// The pause between two attempts grows from 1/firstJoinPauseFraction of an interval to maxJoinPauseIntervals.
 	firstJoinPauseFraction = 10
@@ -109,7 +109,7 @@
 		if limiterWait = j.limiter.reserve(); limiterWait == 0 {
 			err := j.exchange(j.round[0])
 			if j.limiter.recordResult(err); err == nil {
-				_ = j.runOnOwner(j.ctx, scanMembers{}) // so that members that have become reachable are skipped
+				_ = j.runOnOwner(j.ctx, scanMembers{}) // lets the next attempt skip members that have become reachable
 			}
 			j.round = j.round[1:]
 		}
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -109,7 +109,7 @@
 	if err := checkMemberAddr(networks, ip); err != nil {
 		return peer{}, fmt.Errorf("node %s: %w", n.Name, err)
 	}
-	m.Name = id.Name // lets both share memory
+	m.Name = id.Name // lets the name in the metadata and in the ID share memory
 	for _, s := range []*string{&m.Zone, &m.Role, &m.Version} {
 		*s = unique.Make(*s).Value() // lets members with equal texts share memory
 	}
--- a/internal/membership/owner.go
+++ b/internal/membership/owner.go
@@ -32,14 +32,14 @@
 	*shared
 	meta     meta
 	roster   *roster.Roster
-	received messageQueue // written by the instances
+	received messageQueue // messages that the instances have received
 	// broadcasts and pushPull are read by the instances.
 	broadcasts memberlist.TransmitLimitedQueue
 	pushPull   pushPullCache
 
 	reachable         map[roster.ID]*aliveNode    // nodes that the failure detector holds alive or suspects
 	observedInstance  *instance                   // the instance that reachable was read from
-	pendingBroadcasts map[roster.ID]time.Duration // time since which each waits (see broadcastPending)
+	pendingBroadcasts map[roster.ID]time.Duration // time since which each process waits (see broadcastPending)
 	ackRequests       []roster.Entry              // processes that have requested an acknowledgement
 
 	acks       ackProgress
@@ -132,7 +132,8 @@
 	}
 	now := o.now()
 	messages := o.received.take()
-	// Before the messages, so that processes that the library has already reported are not broadcast.
+	// Node changes are applied before messages, so that processes that the library has already reported are not
+	// broadcast.
 	o.applyNodeChanges(now)
 	for _, m := range messages {
 		o.handleMessage(now, m)
@@ -146,7 +147,7 @@
 	o.restartInstance()
 	o.requestAcks(now)
 	o.publish(now)
-	o.sendAcks() // after publish: the view must count a process before it is acknowledged
+	o.sendAcks() // follows publish, as the view must count a process before it is acknowledged
 }
 
 // applyNodeChanges applies the failure detector's changes to the reachable nodes and the roster.
--- a/internal/membership/owner_identity.go
+++ b/internal/membership/owner_identity.go
@@ -22,7 +22,7 @@
 
 // startRaise is the state of owner.raiseStart.
 type startRaise struct {
-	count            int           // raises so far
+	count            int           // number of raises so far
 	firstReachableAt time.Duration // time at which another process was first reachable; 0 means never
 	laterSince       time.Duration // time since which an unreachable process with a later start is known; 0 means none
 }
@@ -52,7 +52,7 @@
 // one of another name while the process is unreachable. Starts of different names are not compared, as clocks differ.
 func (o *owner) markReplacedGone(now time.Duration) {
 	self := o.roster.Self()
-	owners := map[string]roster.ID{o.addr: self} // by address
+	owners := map[string]roster.ID{o.addr: self} // processes by address
 	for id, n := range o.reachable {
 		if other, ok := owners[n.addr]; !ok || id.Start > other.Start {
 			owners[n.addr] = id
@@ -135,7 +135,7 @@
 			"earlier_start", oldInstance.id.Start)
 		o.publish(o.now()) // gives up the quota before the new incarnation joins
 		if len(o.reachable) > 0 {
-			_ = oldInstance.library.Leave(maxRestartLeaveTime) // on failure the other members detect it, only later
+			_ = oldInstance.library.Leave(maxRestartLeaveTime) // on failure the other members detect the end later
 		}
 		oldInstance.shutdown()
 	}
@@ -146,7 +146,7 @@
 	wakeUp(o.joinWake)
 	for _, n := range o.reachable {
 		select {
-		case o.exchanges <- exchangeRequest{n.addr}: // one is enough, as each of them knows the others
+		case o.exchanges <- exchangeRequest{n.addr}: // one exchange is enough, as each reachable node knows the others
 		default:
 		}
 		break
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -80,7 +80,7 @@
 			probe = p.newScheduledProbe()
 			p.scheduled[id] = probe
 		}
-		if !time.Now().Before(probe.at) && p.limiter.Allow() { // otherwise the next round probes it
+		if !time.Now().Before(probe.at) && p.limiter.Allow() { // otherwise a later round probes the member
 			if p.connectionRefused(e.Addr) {
 				_ = p.runOnOwner(p.ctx, recordConnectionRefused{id}) // fails only if the owner has ended
 			}
--- a/internal/membership/roster/model/fleet.go
+++ b/internal/membership/roster/model/fleet.go
@@ -17,14 +17,14 @@
 
 // FleetConfig configures a random run.
 type FleetConfig struct {
-	Size        int           // processes at the start of the run, none of which knows another
+	Size        int           // number of processes at the start of the run, none of which knows another
 	Peers       int           // roster.Options.Peers of all processes
 	NewNames    int           // number of names that may join later
 	AdmitWithin time.Duration // 0 means no admission by timeout
 	Defect      Defect
 	FalseProofs bool // running processes may be proved gone
-	// MaxProofsPerName is that of roster.Options. If it is set, a process whose proof was evicted may become present
-	// again.
+	// MaxProofsPerName is roster.Options.MaxProofsPerName of all processes. If it is set, a process whose proof was
+	// evicted may become present again.
 	MaxProofsPerName int
 }
 
@@ -46,10 +46,10 @@
 	estimate    balance.FleetEstimate
 	addr        string
 	running     bool
-	leaving     bool          // it announced that it leaves, and may still run
-	secondSide  bool          // on the second side of the partition
-	clockOffset time.Duration // its clock at the start of the run
-	clockRate   float64       // seconds of its clock per second of the run
+	leaving     bool          // the process announced that it leaves, and may still run
+	secondSide  bool          // the process is on the second side of the partition
+	clockOffset time.Duration // time of the process's clock at the start of the run
+	clockRate   float64       // seconds of the process's clock per second of the run
 	view        roster.View
 	gone        map[roster.ID]bool // whether each process in its roster is proved gone
 	proofUndone bool               // a process that was proved gone became present
@@ -204,7 +204,7 @@
 		p.roster.Merge(f.clock(p), left)
 		p.leaving = true
 		f.logEvent("%v leaves", self)
-		return // it may keep running for a while
+		return // the leaving process may keep running for a while
 	}
 	p.running = false
 	f.logEvent("%v crashes", p.roster.Self())
@@ -264,7 +264,7 @@
 	}
 	f.logEvent("%v sends %d entries, digest %x to %v", m.by, len(m.entries), m.digest, q.roster.Self())
 	f.inFlight = append(f.inFlight, m)
-	if f.random.IntN(2) == 0 { // arrives at once, and may arrive again
+	if f.random.IntN(2) == 0 { // the message arrives at once, and may arrive again
 		f.receive(m)
 	}
 }
@@ -286,10 +286,10 @@
 	i := f.random.IntN(len(f.inFlight))
 	m := f.inFlight[i]
 	switch f.random.IntN(4) {
-	case 0: // lost
+	case 0: // the message is lost
 		f.inFlight = slices.Delete(f.inFlight, i, i+1)
 		return
-	case 1: // delivered, and stays in flight as a duplicate
+	case 1: // the message is delivered, and stays in flight as a duplicate
 	default:
 		f.inFlight = slices.Delete(f.inFlight, i, i+1)
 	}
--- a/internal/membership/roster/model/scenario.go
+++ b/internal/membership/roster/model/scenario.go
@@ -42,9 +42,9 @@
 // Slot describes one process of a scenario.
 type Slot struct {
 	ID         roster.ID
-	JoinsLater bool  // not running in the initial state
-	AfterCrash bool  // starts only after all other processes of its name have crashed
-	Seeds      uint8 // bit set of the slots that it may contact even if it does not know them
+	JoinsLater bool  // the process does not run in the initial state
+	AfterCrash bool  // the process starts only after all other processes of its name have crashed
+	Seeds      uint8 // bit set of the slots that the process may contact even if it does not know them
 }
 
 // Scenario lists the processes of a fleet and bounds the number of faults. In the initial state the processes without
@@ -58,8 +58,8 @@
 	DelayedMessages  int  // messages that may arrive later and repeatedly; others arrive at once or are lost
 	ForcedAdmissions int  // number of admissions by timeout
 	Defect           Defect
-	// MaxProofsPerName is that of roster.Options. If it is set, a process whose proof was evicted may become present
-	// again.
+	// MaxProofsPerName is roster.Options.MaxProofsPerName of all processes. If it is set, a process whose proof was
+	// evicted may become present again.
 	MaxProofsPerName int
 	// Bound returns the maximum sum of quotas, from the views of the Forced processes and the number of other admitted
 	// ones. nil means 1, and that the quotas of Forced processes are not part of the sum.
--- a/internal/membership/roster/model/search.go
+++ b/internal/membership/roster/model/search.go
@@ -93,7 +93,7 @@
 type search struct {
 	Scenario
 	knowledge []knowledge            // indexed by knowledgeID
-	ids       map[string]knowledgeID // by slot, proofUndone and key of the roster
+	ids       map[string]knowledgeID // IDs by slot, proofUndone and key of the roster
 	results   map[step]knowledgeID
 	emit      func(event eventLabel, s state) // receives each successor of a state, and the event that leads to it
 }
--- a/internal/membership/roster/roster.go
+++ b/internal/membership/roster/roster.go
@@ -27,7 +27,7 @@
 	coexisting   map[string]*nameGroup // names with more than one present process
 	entryCount   int
 	proofRecords []proofRecord // oldest first; includes records that are no longer current (see isCurrent)
-	proofCount   uint64        // records ever added
+	proofCount   uint64        // total number of records ever added
 
 	totals totals
 
@@ -39,18 +39,18 @@
 // totals are sums over all names. Roster.updateTotals keeps them current.
 type totals struct {
 	presentDigest  uint64 // XOR of the hashes of all present processes
-	memberNames    int    // names with a process that is no observer
-	presentNames   int    // names in memberNames with a present process
-	reachableNames int    // names in presentNames with a reachable process, or of this process
-	otherProcesses int    // present processes other than this one, without observers
-	acks           int    // processes in otherProcesses that have acknowledged this one
-	acksByAdmitted int    // processes in acks that were admitted when they acknowledged
-	acksByUnforced int    // processes in acks that were admitted and not Forced when they acknowledged
+	memberNames    int    // number of names with a process that is no observer
+	presentNames   int    // number of names in memberNames with a present process
+	reachableNames int    // number of names in presentNames with a reachable process, or of this process
+	otherProcesses int    // number of present processes other than this one, without observers
+	acks           int    // number of processes in otherProcesses that have acknowledged this one
+	acksByAdmitted int    // number of processes in acks that were admitted when they acknowledged
+	acksByUnforced int    // number of processes in acks that were admitted and not Forced when they acknowledged
 }
 
 // nameGroup holds the known processes of one name.
 type nameGroup struct {
-	processes []process // in ascending order of start
+	processes []process // processes of the name, in ascending order of start
 	goneCount int       // the number of processes that are proved gone
 }
 
@@ -63,15 +63,15 @@
 type process struct {
 	ID
 	addr                 string
-	proof                Proof  // ProofNone while it is present
-	proofSequence        uint64 // sequence number of its proofRecord; 0 while it is present
+	proof                Proof  // ProofNone while the process is present
+	proofSequence        uint64 // sequence number of the proofRecord; 0 while the process is present
 	observer             bool
 	hash                 uint64
 	reachable            bool          // the last verdict of the failure detector
-	acknowledged         bool          // it has acknowledged this process
-	acknowledgedAdmitted bool          // it was admitted when it acknowledged this process
-	acknowledgedUnforced bool          // it was admitted and not Forced when it acknowledged this process
-	reachableChangedAt   time.Duration // when reachable last changed
+	acknowledged         bool          // the process has acknowledged this one
+	acknowledgedAdmitted bool          // the process was admitted when it acknowledged this one
+	acknowledgedUnforced bool          // the process was admitted and not Forced when it acknowledged this one
+	reachableChangedAt   time.Duration // time at which reachable last changed
 	firstSeenAt          time.Duration
 }
 
@@ -104,7 +104,7 @@
 func (r *Roster) startIncarnation(now time.Duration, self ID) {
 	r.self, r.admitted, r.forced = self, false, false
 	r.admitDeadline = now + r.options.AdmitWithin
-	r.lastListed = self // so that joining processes begin with different peers
+	r.lastListed = self // starts after this process, so that joining processes begin with different peers
 	for _, group := range r.byName {
 		r.updateTotals(group, -1)
 		for i := range group.processes {
@@ -266,7 +266,7 @@
 		if !p.present() {
 			continue
 		}
-		t.presentDigest ^= p.hash // XOR: the second time removes it
+		t.presentDigest ^= p.hash // XOR: the second application removes the hash
 		if p.observer {
 			continue
 		}
--- a/internal/membership/roster/roster_view.go
+++ b/internal/membership/roster/roster_view.go
@@ -32,7 +32,7 @@
 // their name was present.
 func (g *nameGroup) duplicates(now time.Duration, self ID) int {
 	duplicates := 0
-	laterSince := time.Duration(math.MaxInt64) // when the first of the later processes was first seen
+	laterSince := time.Duration(math.MaxInt64) // time at which the first of the later processes was first seen
 	for i := len(g.processes) - 1; i >= 0; i-- {
 		p := &g.processes[i]
 		if !p.present() || p.observer {
--- a/internal/membership/roster/types.go
+++ b/internal/membership/roster/types.go
@@ -27,10 +27,10 @@
 // The proofs in ascending order. If there are two for the same process, the greater one is kept.
 const (
 	ProofNone          Proof = iota // the process is present
-	ProofRefused                    // its address refuses connections
-	ProofAddressReused              // another process has its address
-	ProofOperator                   // an operator confirmed it
-	ProofLeft                       // it announced that it left
+	ProofRefused                    // the address of the process refuses connections
+	ProofAddressReused              // another process has the address of this one
+	ProofOperator                   // an operator confirmed that the process has ended
+	ProofLeft                       // the process announced that it left
 )
 
 // Entry states that a process is present or proved gone. Two entries of one process merge by the maximum of each field,
@@ -41,7 +41,7 @@
 	// GoneStart is an incarnation of this name that is proved gone, or 0 for none. If it is Start or greater, the
 	// process of this entry is gone.
 	GoneStart int64
-	Proof     Proof  // the evidence for GoneStart; ProofNone if that is 0
+	Proof     Proof  // the evidence for GoneStart; ProofNone if GoneStart is 0
 	Addr      string // HOST:PORT of the process Start; empty if unknown
 	// Observer marks a process without a share of the fleet's budgets. Once set it stays set.
 	Observer bool
--- a/internal/membership/transport/guard.go
+++ b/internal/membership/transport/guard.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	maxAnnouncedNodes = 8192 // in a push/pull: 4,096 names, each with two processes during an upgrade
-	maxHeaderBytes    = 256  // length of the header of a stream, which announces sizes
-	maxLabelBytes     = 256  // length of the label before the header
+	maxAnnouncedNodes = 8192 // maximum nodes in a push/pull: 4,096 names, each with two processes during an upgrade
+	maxHeaderBytes    = 256  // maximum length of the header of a stream, which announces sizes
+	maxLabelBytes     = 256  // maximum length of the label before the header
 )
 
 var errOversized = errors.New("stream is compressed or announces more than the limit")
--- a/internal/membership/transport/transport.go
+++ b/internal/membership/transport/transport.go
@@ -23,9 +23,9 @@
 
 // limits bound the memory and the time that remote ends can consume.
 type limits struct {
-	maxPacketBytes int           // per packet, in either direction
-	maxStreamBytes int64         // per stream, in each direction
-	maxStreams     int           // incoming streams open at a time
+	maxPacketBytes int           // maximum size of a packet in either direction, in bytes
+	maxStreamBytes int64         // maximum size of a stream in each direction, in bytes
+	maxStreams     int           // maximum number of incoming streams open at a time
 	slotTimeout    time.Duration // how long an incoming stream waits for a free slot before it is dropped
 	idleTimeout    time.Duration // maximum time without a byte while a stream is read
 	streamLifetime time.Duration // maximum time from the opening of a stream to its end
@@ -46,11 +46,11 @@
 // Reasons why packets and streams are dropped. They are values of a metric label.
 const (
 	droppedNetwork   = "network" // the remote address is not in any of the networks
-	droppedTooLong   = "long"    // more bytes than the limit of a packet or stream
+	droppedTooLong   = "long"    // the packet or stream has more bytes than its limit
 	droppedEmpty     = "empty"   // a packet without bytes
 	droppedIdle      = "idle"    // nothing arrived within idleTimeout
 	droppedLifetime  = "late"    // the stream did not end within streamLifetime
-	droppedOversized = "swollen" // announces too much, is compressed, or is a malformed or nested compound
+	droppedOversized = "swollen" // the input announces too much, is compressed, or is a malformed or nested compound
 	droppedNoSlot    = "streams" // no free slot within slotTimeout
 )
 
--- a/internal/membership/view/client.go
+++ b/internal/membership/view/client.go
@@ -36,11 +36,11 @@
 // Client sends requests to the management addresses of processes, or to the addresses of replicas of the list service.
 // The zero value is ready for use.
 type Client struct {
-	Timeout     time.Duration // for a whole request and response; 0 means defaultTimeout
-	MaxParallel int           // concurrent requests of Observe; 0 means defaultMaxParallel
+	Timeout     time.Duration // timeout of a whole request and response; 0 means defaultTimeout
+	MaxParallel int           // maximum number of concurrent requests of Observe; 0 means defaultMaxParallel
 
-	retryDelay  time.Duration // before the first restart of a watch; 0 means firstRetryDelay
-	idleTimeout time.Duration // without data, after which a watch is restarted; 0 means defaultIdleTimeout
+	retryDelay  time.Duration // delay before the first restart of a watch; 0 means firstRetryDelay
+	idleTimeout time.Duration // time without data after which a watch is restarted; 0 means defaultIdleTimeout
 }
 
 // StatusError is returned for a response with a status other than 2xx.
--- a/internal/membership/view/diff.go
+++ b/internal/membership/view/diff.go
@@ -32,7 +32,7 @@
 	Addr    string                 `json:"addr"` // HOST:PORT of the reporting process
 	State   membership.MemberState `json:"state"`
 	Proof   string                 `json:"proof,omitempty"`
-	SinceMS int64                  `json:"since_ms"` // how long it has been in State; -1 if State is Unknown
+	SinceMS int64                  `json:"since_ms"` // time since State changed, in ms; -1 if State is Unknown
 }
 
 // Stage classifies a difference by when it was observed. The texts are part of the JSON form.
@@ -40,9 +40,9 @@
 
 // The stages of a difference.
 const (
-	Persistent Stage = "lasting" // present at the second moment, and no view changed since the first
-	Emerging   Stage = "news"    // present at the second moment, and at least one view changed since the first
-	Resolved   Stage = "settled" // present only at the first moment
+	Persistent Stage = "lasting" // the difference is present at the second moment, and no view changed since the first
+	Emerging   Stage = "news"    // the difference is present at the second moment, and a view changed since the first
+	Resolved   Stage = "settled" // the difference is present only at the first moment
 )
 
 // Difference describes a member whose state differs between processes.
@@ -52,7 +52,7 @@
 	// ForMS is how long two processes have had the views that differ at the second moment, in milliseconds. 0 if
 	// Resolved.
 	ForMS int64        `json:"for_ms"`
-	Views []MemberView `json:"sayings"` // at the second moment, one per complete observation, ordered by address
+	Views []MemberView `json:"sayings"` // views at the second moment, one per complete observation, ordered by address
 }
 
 // Diff returns the members whose state differs between processes at either moment, ordered by name and start. It
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -54,7 +54,7 @@
 	if f.Members == nil {
 		return nil, nil
 	}
-	c, err := f.Members.Config() // its errors name the key
+	c, err := f.Members.Config() // errors of Section.Config name the key
 	if err != nil {
 		return nil, err
 	}
--- a/internal/registry/listserver/admission.go
+++ b/internal/registry/listserver/admission.go
@@ -17,7 +17,7 @@
 type TokenBucket struct {
 	mu        sync.Mutex
 	Level     float64   // available tokens
-	last      time.Time // when Level was last updated
+	last      time.Time // time of the last update of Level
 	lastRetry time.Time // retry time of the most recently rejected caller
 }
 
--- a/internal/registry/listserver/members.go
+++ b/internal/registry/listserver/members.go
@@ -26,10 +26,10 @@
 	// UnknownMember is the state of a replica that the membership group does not report.
 	UnknownMember membership.MemberState = "unknown"
 
-	leaveTimeout = 300 * time.Millisecond // time for the leave message to reach the other members
+	leaveTimeout = 300 * time.Millisecond // maximum time for the leave message to reach the other members
 	// MemberWatchers is the maximum number of concurrent watches of /members; each occupies a connection.
 	MemberWatchers = 8
-	// If the address cannot be bound, it is retried after minBindRetry; the delay then doubles up to maxBindRetry.
+	// If the address cannot be bound, binding is retried after minBindRetry; the delay then doubles up to maxBindRetry.
 	minBindRetry = 100 * time.Millisecond
 	maxBindRetry = 10 * time.Second
 )
--- a/internal/registry/listserver/replicas.go
+++ b/internal/registry/listserver/replicas.go
@@ -33,7 +33,7 @@
 	// AckMS is set by the leader: the age of its newest message of this term that the replica has acknowledged; -1 if
 	// there is none.
 	AckMS int64 `json:"ack_ms"`
-	// Member is the state in the membership group. It does not affect which replicas vote.
+	// Member is the state of the replica in the membership group. It does not affect which replicas vote.
 	Member membership.MemberState `json:"member"`
 }
 
--- a/internal/registry/listserver/server.go
+++ b/internal/registry/listserver/server.go
@@ -31,7 +31,7 @@
 	// lineWriteTimeout bounds the write of one line to a watch.
 	lineWriteTimeout  = 5 * time.Second
 	MaxWriteBodyBytes = 64 << 10        // maximum size of the body of a write
-	ApplyTimeout      = 5 * time.Second // time for a write to be replicated and applied
+	ApplyTimeout      = 5 * time.Second // maximum time for a write to be replicated and applied
 )
 
 // Replica is the replicated log that a server writes to: raft, or a single process.
--- a/internal/registry/listserver/status.go
+++ b/internal/registry/listserver/status.go
@@ -27,7 +27,7 @@
 	DiskMS      float64           `json:"disk_ms"` // duration of the last disk write
 	Members     map[string]string `json:"members"`
 
-	// Set only in responses of the status path.
+	// The following fields are set only in responses of the status path.
 	Name     string          `json:"name,omitempty"`
 	Applied  uint64          `json:"applied"` // index of the last applied log entry
 	Replicas []ReplicaStatus `json:"copies,omitempty"`
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -32,7 +32,7 @@
 
 // Config configures a replica.
 type Config struct {
-	Name       string // unique among the replicas
+	Name       string // name of the replica, unique among the replicas
 	Listen     string // address of the HTTP API
 	RaftListen string // address of raft
 	Dir        string // data directory; empty: state is kept in memory only, for development
@@ -86,7 +86,7 @@
 	listen      net.Listener
 	raftAddr    net.Addr       // address raft listens on
 	store       *storage.Store // nil: state is kept in memory
-	closers     []func() error // in the order of opening
+	closers     []func() error // functions that close what Open opened, in the order of opening
 	log         *slog.Logger
 	// readyTerm is the last term in which this replica led and had applied every entry committed in earlier terms.
 	readyTerm atomic.Uint64
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -83,7 +83,7 @@
 	if at := n.fresh.completeSince(rev); !at.IsZero() {
 		return time.Since(at)
 	}
-	return time.Hour // neither confirmed nor polled yet
+	return time.Hour // no leadership was confirmed and no leader was polled yet
 }
 
 // needsEntries reports whether this replica still leads in the term, and the replica id is a member that it sends
--- a/internal/registry/recovery/restore.go
+++ b/internal/registry/recovery/restore.go
@@ -51,7 +51,7 @@
 type Target struct {
 	Name string
 	Dir  string // data directory, which has to be absent or empty
-	Raft string // raft address at which other replicas reach it
+	Raft string // raft address at which other replicas reach this one
 	Join bool   // the replica is configured to join a cluster, which Restore rejects
 }
 
@@ -140,12 +140,12 @@
 	if err != nil {
 		return fmt.Errorf("restore: %w", err)
 	}
-	defer p.Close() // also releases the lock
+	defer p.Close() // Close also releases the lock
 	if err := storage.LockFile(p, syscall.LOCK_EX); err != nil {
 		return fmt.Errorf("restore: %w", err)
 	}
 	temp := filepath.Join(parent, "."+base+".restore")
-	if err := os.RemoveAll(temp); err != nil { // left by an interrupted restore
+	if err := os.RemoveAll(temp); err != nil { // removes what an interrupted restore has left
 		return fmt.Errorf("restore: %w", err)
 	}
 	if err := os.Mkdir(temp, 0o755); err != nil {
--- a/internal/registry/routeleader/audit_history.go
+++ b/internal/registry/routeleader/audit_history.go
@@ -14,7 +14,7 @@
 // Each replica records two things, both on its monotonic clock:
 //
 //   - The time by which it had applied each audit transition. The recorded event happened before that time.
-//   - The newest routes revision of the leader at the time of a poll. Newer revisions were committed after that.
+//   - The newest routes revision of the leader at the time of a poll. Newer revisions were committed after the poll.
 //     The replica polls for it, as it does for the list (see freshness), because an unrequested message from a leader
 //     may have been delayed and does not show when its content was current.
 
--- a/internal/registry/routeleader/requests.go
+++ b/internal/registry/routeleader/requests.go
@@ -26,7 +26,7 @@
 // or the setting of the operators' file that the request violates.
 type Rejection struct {
 	status int
-	after  time.Duration // sent as Retry-After; 0 sends no such header
+	after  time.Duration // value of the Retry-After header; 0 sends no such header
 
 	Error     string                `json:"error"`
 	Field     string                `json:"field,omitempty"`
--- a/internal/registry/routeleader/routing.go
+++ b/internal/registry/routeleader/routing.go
@@ -34,7 +34,7 @@
 	replica   replica
 	log       *slog.Logger
 	name      string           // replica name
-	createdAt time.Time        // when this Routing was created; monotonic
+	createdAt time.Time        // time at which this Routing was created; monotonic
 	wall      func() time.Time // returns the time of the wall clock
 	defect    Defect
 	rules     operators.Validator
--- a/internal/registry/routeleader/tables.go
+++ b/internal/registry/routeleader/tables.go
@@ -23,7 +23,7 @@
 	tail        *tableNode
 	moments     []moment
 	upperBounds []moment           // newest revision of the leader at the time of each poll; see observeRev
-	proposed    map[*proposal]bool // changes in flight
+	proposed    map[*proposal]bool // changes in flight that this replica has proposed
 	defect      Defect
 }
 
@@ -131,7 +131,7 @@
 	t.moments = append(t.moments, m)
 }
 
-// propose records a change as in flight since at. The returned function ends that.
+// propose records a change as in flight since at. The returned function ends the record.
 func (t *tables) propose(at time.Time, term uint64) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/registry/routeleader/views.go
+++ b/internal/registry/routeleader/views.go
@@ -27,7 +27,7 @@
 	SinceMS        int64         `json:"since_ms"`
 	Why            string        `json:"why,omitempty"`
 	Budget         int64         `json:"budget"`
-	Granted        int64         `json:"granted"` // total granted to processes
+	Granted        int64         `json:"granted"` // total budget granted to processes
 	Spent          int64         `json:"spent"`
 	Returned       int64         `json:"returned"`
 	Left           int64         `json:"left"`     // budget that is neither held by a process nor spent
--- a/internal/registry/state/leases.go
+++ b/internal/registry/state/leases.go
@@ -10,7 +10,7 @@
 type Leases struct {
 	mu             sync.Mutex
 	ends           map[string]time.Time
-	held           int           // expired leases whose entries are kept, see Due
+	held           int           // number of expired leases whose entries are kept, see Due
 	recentExpiries []expiryCount // expiries within the last lease term
 }
 
@@ -81,7 +81,7 @@
 		leased[lease.UID] = true
 		maxTerm = max(maxTerm, lease.Term)
 		end, ok := l.ends[lease.UID]
-		if !ok { // registered under an earlier leader: gets a full term from now on
+		if !ok { // the entry was registered under an earlier leader and gets a full term from now on
 			l.ends[lease.UID] = now.Add(lease.Term)
 			continue
 		}
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -109,7 +109,7 @@
 // entryRecord is an entry with its internal fields.
 type entryRecord struct {
 	Entry   Entry `json:"entry"`
-	Changed int64 `json:"changed"` // revision of its last change
+	Changed int64 `json:"changed"` // revision of the last change of the entry
 	LeaseMS int64 `json:"lease_ms"`
 }
 
@@ -124,14 +124,14 @@
 	rev              int64
 	items            map[string]*entryRecord
 	replicaAddresses map[string]string // HTTP addresses of the replicas by name
-	history          []change          // oldest first
+	history          []change          // changes kept for watches that resume, oldest first
 	historyStart     int64             // history holds all changes after this revision
 	maxHistory       int
 
 	// Changes of the following fields do not change the revision of the list.
 	Routes         *rollout.State
 	AuditLog       *audit.Log
-	Processes      map[string]SchemaSupport // by the process's name
+	Processes      map[string]SchemaSupport // schema support by name of the process
 	MaxLeaseTermMS int64                    // the maximum term of routes leases that may still run
 }
 
@@ -225,7 +225,7 @@
 		s.remove(c.UID)
 		return s.rev, nil
 	case OpExpire:
-		for _, uid := range slices.Sorted(maps.Keys(c.Expired)) { // all replicas must remove them in the same order
+		for _, uid := range slices.Sorted(maps.Keys(c.Expired)) { // all replicas must remove entries in one order
 			if it, ok := s.items[uid]; ok && it.Changed == c.Expired[uid] {
 				s.remove(uid)
 			}
@@ -313,7 +313,7 @@
 func (s *State) record(e Entry) int64 {
 	s.rev++
 	s.history = append(s.history, change{s.rev, e})
-	if len(s.history) > 2*s.maxHistory { // dropped in batches, so that the copy is rare
+	if len(s.history) > 2*s.maxHistory { // old changes are dropped in batches, so that the copy is rare
 		drop := len(s.history) - s.maxHistory
 		s.historyStart = s.history[drop-1].rev
 		s.history = slices.Clone(s.history[drop:])
--- a/internal/registry/storage/inspect.go
+++ b/internal/registry/storage/inspect.go
@@ -301,7 +301,7 @@
 			continue
 		}
 		at := filepath.Join(dir, SnapshotsDir, s.Name)
-		if s.Index < found.Covered() { // its removal may have been interrupted
+		if s.Index < found.Covered() { // the removal of the snapshot may have been interrupted
 			if err := os.RemoveAll(at); err != nil {
 				return fmt.Errorf("remove corrupt old snapshot: %w", err)
 			}
--- a/internal/registry/storage/snapshots.go
+++ b/internal/registry/storage/snapshots.go
@@ -83,7 +83,7 @@
 			err = errors.Join(err, os.RemoveAll(filepath.Join(s.dir, e.Name())))
 		}
 	}
-	if err != nil { // the next failure or start removes it
+	if err != nil { // the next failure or start removes the unfinished snapshot
 		s.log.Warn("registry: failed to remove an unfinished snapshot", "error", err)
 	}
 }
--- a/internal/registry/transport/regression_detector.go
+++ b/internal/registry/transport/regression_detector.go
@@ -28,7 +28,7 @@
 type followerProgress struct {
 	first     uint64 // index of the entry before the first one sent, which the leader assumes the follower has
 	index     uint64 // index of the last acknowledged entry
-	regressed bool   // a regression was detected and logged
+	regressed bool   // true once a regression was detected and logged
 }
 
 // NewRegressionDetector returns a detector that observes the responses to entries sent over t.
--- a/internal/registry/transport/transport.go
+++ b/internal/registry/transport/transport.go
@@ -24,7 +24,7 @@
 	once sync.Once
 
 	heartbeats sync.RWMutex // read-locked while a heartbeat is handled
-	stopped    bool         // no more heartbeats are handled
+	stopped    bool         // true once no more heartbeats are handled
 
 	mu    sync.Mutex
 	term  uint64
--- a/internal/retry/log_limiter.go
+++ b/internal/retry/log_limiter.go
@@ -8,7 +8,7 @@
 // LogLimiter limits how often a repeatedly failing call is logged. It is not safe for concurrent use.
 type LogLimiter struct {
 	lastLogged time.Time // time of the last logged failure; zero if none
-	suppressed int       // number of failures since then that were not logged
+	suppressed int       // number of failures since lastLogged that were not logged
 }
 
 // Allow reports whether to log a failure, and the number of failures that were not logged since the last logged one.
--- a/internal/retry/start.go
+++ b/internal/retry/start.go
@@ -19,7 +19,7 @@
 	log *slog.Logger
 
 	mu       sync.Mutex // guards deadline
-	deadline time.Time  // zero if no call has failed yet
+	deadline time.Time  // time at which the retries end; zero if no call has failed yet
 }
 
 // NewStartRetrier returns a StartRetrier that stops retrying when the context ends. If log is nil, it uses
--- a/internal/snapshot/crashcheck/crashcheck.go
+++ b/internal/snapshot/crashcheck/crashcheck.go
@@ -118,12 +118,12 @@
 // processRun describes a process that opens the folder, loads and saves.
 type processRun struct {
 	saves        int
-	killedBefore int // operation of the last save before which it is killed, or neverKilled
+	killedBefore int // operation of the last save before which the process is killed, or neverKilled
 }
 
 // checker is the state of one CheckEveryCrash.
 type checker struct {
-	checkedImages map[string]bool // by imageKey
+	checkedImages map[string]bool // images that were checked, by imageKey
 	wrap          func(*disk.Disk) fsys.FS
 	stateCount    int // number of states saved so far
 }
--- a/internal/snapshot/inspect.go
+++ b/internal/snapshot/inspect.go
@@ -11,8 +11,8 @@
 
 // Finding is the result of reading one state file.
 type Finding struct {
-	File  string    // path
-	Bytes int64     // size; 0 if the file could not be read
+	File  string    // path of the file
+	Bytes int64     // size of the file; 0 if it could not be read
 	State *Snapshot // nil if the file is invalid
 	// Err is nil for a valid file, a *DamageError for a damaged one, ErrNewerVersion for one that only a newer version
 	// of this program may read, or an error of the file system.
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -59,12 +59,12 @@
 // Server contains the values learned about one server. Ages and remaining times are in ms at the time of the save.
 type Server struct {
 	UID               string  `json:"uid"`
-	Size              float64 `json:"size"` // added to the sizes of its kind and zone
+	Size              float64 `json:"size"` // size of the server, which is added to the sizes of its kind and zone
 	ConsecutiveErrors int     `json:"errors,omitempty"`
 	ErrorAge          float64 `json:"error_age_ms,omitempty"`
-	Ejections         int     `json:"rests,omitempty"` // consecutive ejections
+	Ejections         int     `json:"rests,omitempty"` // number of consecutive ejections
 	EjectionRemaining float64 `json:"rest_left_ms,omitempty"`
-	Down              bool    `json:"down,omitempty"` // the last attempt could not connect
+	Down              bool    `json:"down,omitempty"` // the last attempt to connect failed
 	WarmingUp         bool    `json:"cold,omitempty"`
 	WarmUpAge         float64 `json:"cold_age_ms,omitempty"`
 	BootUnixMS        int64   `json:"boot_ms,omitempty"` // start time of the server; 0 if unknown
@@ -90,7 +90,7 @@
 	Rev     int64   `json:"rev,omitempty"`
 	Epoch   int64   `json:"epoch,omitempty"`
 	Age     float64 `json:"age_ms,omitempty"` // time since the last contact with a list service, in ms
-	Source  string  `json:"source,omitempty"` // address of that list service
+	Source  string  `json:"source,omitempty"` // address of the list service that was last contacted
 	Servers []Entry `json:"servers,omitempty"`
 }
 
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -53,7 +53,7 @@
 
 // Options configures a store.
 type Options struct {
-	Identity Identity // Load accepts only states of this identity; Save writes it
+	Identity Identity // identity that Save writes, and the only one that Load accepts
 	MaxBytes int64    // size limit of a state file; 0 means DefaultMaxBytes
 	FS       fsys.FS  // nil means the operating system's file system
 	User     int      // ID of the user whose files are read, or CurrentUser or AnyUser
@@ -79,7 +79,7 @@
 
 	mu     sync.Mutex // guards the fields below
 	closed bool
-	lock   fsys.Lock // nil if not held
+	lock   fsys.Lock // lock of the folder; nil if not held
 	// scanned reports whether newestGeneration and seqs describe the folder. It is only set while the lock is held,
 	// since another process may write otherwise.
 	scanned          bool
--- a/internal/testutil/disk/crash.go
+++ b/internal/testutil/disk/crash.go
@@ -132,7 +132,7 @@
 const (
 	changeLost nameChangeOutcome = iota
 	changeApplied
-	renameKeptOldName // only for a Rename: both the new and the old name exist
+	renameKeptOldName // both the new and the old name exist; only for a Rename
 )
 
 // nameChangeOutcomeCount returns the number of possible outcomes of a name change.
--- a/internal/testutil/disk/disk.go
+++ b/internal/testutil/disk/disk.go
@@ -56,7 +56,7 @@
 	Kind    Kind
 	Name    string // path of the file or directory
 	NewName string // new path, set for a Rename
-	file    fileID // not set for an Open or a SyncDir
+	file    fileID // file that the operation uses; not set for an Open or a SyncDir
 	offset  int64  // position of a Write in the file, in bytes
 	data    []byte // bytes of a Write
 }
@@ -72,9 +72,9 @@
 
 	mu          sync.Mutex
 	initial     Image             // synced content at creation
-	names       map[string]fileID // by path, including unsynced name changes
-	contents    [][]byte          // by fileID, including unsynced writes, nil for a directory
-	lockedFiles map[string]fileID // by path, the file that is locked under it
+	names       map[string]fileID // files by path, including unsynced name changes
+	contents    [][]byte          // contents by fileID, including unsynced writes; nil for a directory
+	lockedFiles map[string]fileID // locked files, by the path under which they were locked
 	ops         []Op              // recorded operations, oldest first
 }
 
--- a/internal/testutil/explore/explore.go
+++ b/internal/testutil/explore/explore.go
@@ -55,7 +55,7 @@
 
 // node is a reached state. Its world is released after the visit. Its predecessors are kept for the trace.
 type node struct {
-	world       World  // nil after the visit
+	world       World  // World in this state; nil after the visit
 	event       string // event that leads from the predecessor to this state
 	predecessor *node  // nil for the first state
 }
--- a/internal/tomlfile/error.go
+++ b/internal/tomlfile/error.go
@@ -12,9 +12,9 @@
 // Error reports a file that cannot be decoded, or a value in it that is not allowed.
 type Error struct {
 	File string
-	Line int    // 0 if unknown
+	Line int    // line number; 0 if unknown
 	Key  string // key with its tables; empty if unknown
-	Text string // reason
+	Text string // reason of the error
 }
 
 // Error returns the reason with the file, line and key in front, as far as they are known.
